--- a/soak/world.py
+++ b/soak/world.py
@@ -36,12 +36,18 @@
 
 @attrs.define(eq=False)
 class Machine:
-    """One machine: a loopback address, and a process on it."""
+    """One machine: a loopback address, and a process on it.
+
+    Attributes:
+        checkout: folder of the code that its process runs; the current folder
+            if None.
+    """
 
     name: str
     role: str
     ip: str
     folder: Path
+    checkout: Path | None = None
     process: subprocess.Popen | None = None
     bootstrap: bool = True
     starts: int = 0
@@ -101,6 +107,7 @@
             machine.process = subprocess.Popen(
                 [sys.executable, "-m", "greengagemoor.platform", machine.role],
                 env={**os.environ, "GREENGAGEMOOR_BOOT": str(boot)},
+                cwd=machine.checkout,
                 stdout=out,
                 stderr=out,
             )
