--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -445,7 +445,7 @@
     ),
     Mutant(
         "answers leave in time",
-        "forward/decider.py",
+        "forward/arrivals.py",
         "left -= tables.leaving.margin_s(route.objective_s)",
         "pass",
         ("tests/test_forward/test_load.py",),
