--- a/greengagemoor/control/decider.py
+++ b/greengagemoor/control/decider.py
@@ -1,4 +1,4 @@
-"""The control decider: a member of the control group, without disk or clock."""
+"""State machine of one control group member, without I/O or a clock."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 class ControlDecider:
     """One member: elections, replication, documents and the ledger.
 
-    Messages in: ``Received``, ``Persisted``, ``PersistFailed``,
-    ``SeedsChanged`` and once, first, ``Recovered``. Messages out: ``Send``,
-    ``Persist``, ``DocumentAccepted``, ``NumberedAccepted``,
+    Input messages: ``Recovered`` once and first, then ``Received``,
+    ``Persisted``, ``PersistFailed`` and ``SeedsChanged``. Output messages:
+    ``Send``, ``Persist``, ``DocumentAccepted``, ``NumberedAccepted``,
     ``EvacuationsAccepted``, ``Confirmed`` and the notices of ``notices``. After
-    ``PersistFailed`` it stays silent: what it wrote may be lost, and a restart
-    must find out what is left.
+    ``PersistFailed`` it sends nothing more: writes may be lost, and only a
+    restart shows which are durable.
     """
 
     def __init__(
@@ -50,17 +50,16 @@
         *,
         founders: dict[str, str] | None = None,
     ):
-        """Starts outside any group, until ``Recovered`` says otherwise.
+        """Starts outside any group; ``Recovered`` may restore one.
 
         Args:
             member_id: ``instance#identity`` of the data folder.
             address: peer address of this process.
-            peers: the other control instances of the settings, and their
-                addresses.
+            peers: addresses of the other control instances in the settings.
             rng: seeded source for election times.
             timing: intervals, or None for the defaults.
-            founders: the other instances that were told to found a group
-                with this one, and their addresses; None when it may not.
+            founders: addresses of the other instances configured to found
+                a group with this one; None if it may not found one.
         """
         self.state = State(
             instance=member_id.partition("#")[0],
@@ -73,7 +72,7 @@
         )
 
     def step(self, now: float, msgs: Iterable[object]) -> list:
-        """Runs one tick; see the class for the messages."""
+        """Runs one tick; the class docstring lists the messages."""
         state = self.state
         state.now = max(now, state.now)
         state.out = []
@@ -84,14 +83,14 @@
         election.tick(state)
         joining.tick(state)
         members.tick(state)
-        self._lead()
+        self._run_leader_tick()
         operations.finish(state)
         members.tell_changes(state)
         flush(state)
         self._release(release(state))
         return state.out
 
-    def _lead(self) -> None:
+    def _run_leader_tick(self) -> None:
         state = self.state
         if state.role is not Role.LEADER:
             return
@@ -100,7 +99,7 @@
         operations.confirm(state)
 
     def next_wake(self) -> float | None:
-        """Returns when a tick is due although no message came."""
+        """Returns when a tick is due without a message, None for never."""
         state = self.state
         if state.role is Role.FAILED:
             return None
@@ -113,7 +112,7 @@
         return state.election_at
 
     def meet(self, contacts: dict[str, str]) -> None:
-        """Takes in peer addresses of control instances learnt elsewhere.
+        """Adds peer addresses of control instances learnt from gossip.
 
         Args:
             contacts: addresses by instance.
@@ -122,13 +121,14 @@
 
     @property
     def is_outside(self) -> bool:
-        """Whether this member asks to be taken into a group."""
+        """Whether this member is asking to join a group."""
         return self.state.joining.since is not None
 
     def contacts(self) -> dict[str, str]:
         """Returns peer addresses of control instances, by instance.
 
-        Of the members; outside a group, of all that may know one.
+        In a group, those of its members; outside one, those of every
+        instance that may know a group.
         """
         if self.is_outside:
             return joining.contacts(self.state)
@@ -142,7 +142,7 @@
         if state.role is Role.FAILED:
             return
         if isinstance(msg, m.Received):
-            self._meet_sender(msg)
+            self._record_sender(msg)
             self._receive_payload(msg.sender, msg.payload)
         elif isinstance(msg, m.Persisted):
             self._release(note_synced(state, msg.op))
@@ -152,26 +152,27 @@
         elif isinstance(msg, SeedsChanged):
             joining.take_seeds(state, msg)
 
-    def _meet_sender(self, msg: m.Received) -> None:
-        """Outside a group, remembers who sends what members send.
+    def _record_sender(self, msg: m.Received) -> None:
+        """Outside a group, records the address of a sender that is a member.
 
-        It may be for the identity that this instance had before it lost its
-        disk, and its settings may name only itself and machines that are gone.
+        The message may be addressed to the identity that this instance had
+        before it lost its disk. The sender may be the only member this instance
+        can reach, as its settings may name only itself and removed machines.
         """
-        is_members = type(msg.payload) in _MEMBER_HANDLERS
-        if self.is_outside and is_members and msg.address:
+        from_member = type(msg.payload) in _MEMBER_HANDLERS
+        if self.is_outside and from_member and msg.address:
             self.meet({msg.sender: msg.address})
 
     def _receive_payload(self, sender: str, payload: object) -> None:
         state = self.state
         handler = _MEMBER_HANDLERS.get(type(payload))
         if handler is not None:
-            # A message of another group, or for an identity that this
-            # instance had before it lost its disk, is not for this member.
-            ours = payload.group == state.group or (
-                not state.group and isinstance(payload, _TO_NAMED)
+            # Messages of another group are discarded, as are those for an
+            # identity that this instance had before it lost its disk.
+            group_accepted = payload.group == state.group or (
+                not state.group and isinstance(payload, _ACCEPTED_OUTSIDE)
             )
-            if ours and payload.target == state.member_id:
+            if group_accepted and payload.target == state.member_id:
                 handler(state, payload)
         elif isinstance(payload, m.OpRequest):
             operations.take(state, sender, payload)
@@ -213,12 +214,13 @@
         election.set_next_election(state)
 
     def status(self) -> ControlStatus:
-        """Returns what operators are shown."""
+        """Returns this member's status for operators."""
         return status.of(self.state)
 
 
-_TO_NAMED = (m.VoteRequest, m.AppendRequest, m.InstallSnapshot)
-"""What a process without a group takes from one that names its identity."""
+_ACCEPTED_OUTSIDE = (m.VoteRequest, m.AppendRequest, m.InstallSnapshot)
+"""Messages of any group that a process without one accepts, if they are
+addressed to its current identity."""
 _MEMBER_HANDLERS: dict[type, Callable[[State, object], None]] = {
     m.VoteRequest: election.take_request,
     m.VoteReply: election.take_reply,
--- a/greengagemoor/control/state.py
+++ b/greengagemoor/control/state.py
@@ -1,4 +1,4 @@
-"""State of one member of the control group, shared by its systems."""
+"""State of one control group member, shared by the control modules."""
 
 from __future__ import annotations
 
@@ -23,7 +23,12 @@
 
 
 class Role(enum.Enum):
-    """What this member does now."""
+    """Role of a member within its group.
+
+    Attributes:
+        IDLE: outside any group.
+        FAILED: a write failed; the member sends nothing until a restart.
+    """
 
     IDLE = "idle"
     FOLLOWER = "follower"
@@ -37,10 +42,12 @@
     """Intervals in seconds.
 
     Attributes:
-        election: shortest time without a leader before an election; the
-            longest is twice that.
-        retire: how long a voter must be silent before it may be taken out,
-            and a member must hear no leader before it asks to join anew.
+        election: minimum time without a leader before an election; the
+            maximum is twice that.
+        join: between rounds of join requests, before any backoff.
+        retire: how long a member must be silent before the leader may remove
+            it, and how long a voter must be without a leader before it asks
+            to join again.
     """
 
     heartbeat: float = 0.15
@@ -52,11 +59,12 @@
 
 @attrs.define(eq=False, repr=False)
 class Progress:
-    """What a leader knows of another member.
+    """The leader's replication state for another member.
 
     Attributes:
-        last_ack: when it last answered; at first, when the leader began.
-        answered: whether it has answered this leader at all.
+        last_ack: time of its last reply; before the first, the time when this
+            record was created.
+        answered: whether it has replied to this leader at all.
     """
 
     next_index: int
@@ -69,7 +77,7 @@
 
 @values.frozen
 class PendingOp:
-    """An operation in the log whose asker waits for its result."""
+    """An operation in the log whose requester waits for its result."""
 
     asker: str
     op_id: int
@@ -79,7 +87,7 @@
 
 @values.frozen
 class PendingRead:
-    """A read that waits for a quorum to confirm the leader."""
+    """A read that waits until a quorum confirms the leader."""
 
     asker: str
     op_id: int
@@ -90,7 +98,7 @@
 
 @values.frozen
 class Applied:
-    """A committed entry and what the state machines said of it."""
+    """A committed entry and its result from the state machine."""
 
     entry: LogEntry
     result: ApplyResult | ClaimAnswer | None
@@ -98,19 +106,20 @@
 
 @attrs.define(eq=False, repr=False)
 class Joining:
-    """What a process outside a group knows of its way into one.
+    """Progress of a process that asks to join a group.
 
     Attributes:
-        since: when it began to ask; None while it has no reason to.
-        tell_at: when operators are told next.
-        ask_at: when it asks next.
-        round: how often it has asked since its start.
-        asks: how often it has asked since ``since``.
-        turn: who is asked next, in the order of what is known.
-        asked: instances that were asked last.
-        leader: instance that was last said to lead.
-        contacts: addresses of members by instance, as others told them.
-        replies: the last reply of each instance that answered.
+        since: when it began to ask; None while it does not need to join.
+        tell_at: when the next ``JoinWaiting`` notice is due.
+        ask_at: when the next round of join requests is due.
+        round: rounds of requests since the process started.
+        asks: rounds of requests since ``since``.
+        turn: position of the next target in the list of known instances.
+        asked: instances asked in the last round.
+        leader: instance last reported as leader.
+        contacts: addresses by instance, learnt from join replies, gossip and
+            senders of group messages.
+        replies: the last reply of each instance.
     """
 
     since: float | None = None
@@ -127,7 +136,7 @@
 
 @values.frozen
 class Joiner:
-    """A process that asked the leader to be taken in."""
+    """A process that asked the leader to be added to the group."""
 
     member: Member
     asked_at: float
@@ -135,12 +144,14 @@
 
 @attrs.define(eq=False, repr=False)
 class State:
-    """One member: its durable fields, its role and its output of a tick.
+    """One member: its durable fields, its role and the output of a tick.
 
     Attributes:
-        peers: peer addresses of the settings' other control instances.
-        founders: those with which this one may found a group; None when it
-            was not told to.
+        peers: addresses of the other control instances in the settings.
+        founders: addresses of the instances with which this one may found a
+            group; None if it may not.
+        members_reason: why ``members`` last changed, for operators.
+        told_members: the list last reported by ``MembersChanged``.
     """
 
     instance: str
@@ -159,7 +170,7 @@
     voted_for: str = ""
     log: Log = attrs.field(factory=Log)
     snapshot: Snapshot | None = None
-    # Rebuilt after a start.
+    # Volatile, rebuilt after a restart.
     role: Role = Role.IDLE
     leader: str = ""
     commit: int = 0
@@ -197,7 +208,7 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this member votes under the newest list it knows."""
+        """Whether this member is a voter in the newest list of its log."""
         own = self.members.get(self.member_id)
         return own is not None and own.voter
 
@@ -207,23 +218,25 @@
         return self.leader.partition("#")[0]
 
     def quorum_of(self, count: int) -> bool:
-        """Tells whether ``count`` voters are a majority."""
+        """Returns whether ``count`` voters are a majority."""
         return count > len(self.voters) // 2
 
     def send(self, member_id: str, payload: object) -> None:
-        """Sends to a member at once."""
-        self.out.append(self._to(member_id, payload))
+        """Sends to a member without waiting for a sync."""
+        self.out.append(self._make_send(member_id, payload))
 
     def send_after_sync(self, member_id: str, payload: object) -> None:
-        """Sends to a member once all that was written so far is synced.
+        """Sends to a member once all writes so far are synced.
 
-        A vote or an acknowledgement that outruns its sync is forgotten by a
-        crash after others have counted it: two leaders of one term, or an
-        accepted document lost.
+        If a vote or an acknowledgement were sent before its sync, a crash
+        could lose it after others have counted it: two leaders in one term,
+        or an accepted document lost.
         """
-        self.disk.new_held.append(Held(0, send=self._to(member_id, payload)))
+        self.disk.new_held.append(
+            Held(0, send=self._make_send(member_id, payload))
+        )
 
-    def _to(self, member_id: str, payload: object) -> Send:
+    def _make_send(self, member_id: str, payload: object) -> Send:
         member = self.members.get(member_id)
         return Send(
             to=member_id.partition("#")[0],
@@ -232,7 +245,7 @@
         )
 
     def set_members(self, reason: str) -> None:
-        """Takes the member list from the newest entry of the log.
+        """Sets the member list to the newest one in the log.
 
         Args:
             reason: why it may have changed, for operators.
@@ -243,6 +256,6 @@
         self.members_reason = reason
 
     def reset_election(self) -> None:
-        """Sets the next election time, spread so that few collide."""
+        """Sets a random next election time, so that few elections collide."""
         spread = self.timing.election * (1 + self.rng.random())
         self.election_at = self.now + spread
