--- a/greengagemoor/control/election.py
+++ b/greengagemoor/control/election.py
@@ -1,4 +1,4 @@
-"""Elections with pre-votes, and a leader that steps down without a quorum."""
+"""Elections with pre-votes; leaders step down when they lose the quorum."""
 
 from __future__ import annotations
 
@@ -13,29 +13,39 @@
 if TYPE_CHECKING:
     from greengagemoor.control.state import State
 
-EARLY_SHARE = 0.08
-"""Part of the election time that a member waits which has heard no leader since
-its start: some ten round trips for a group in one region. What happens to come
-at the same moment costs one more such wait."""
+STARTUP_WAIT_FRACTION = 0.08
+"""Fraction of the election time that a member waits if it has had no leader
+since its start: about ten round trips for a group in one region. Elections that
+collide cost one more such wait."""
 
 
 def become_follower(state: State, term: int, leader: str = "") -> None:
-    """Follows; whoever waits for this member as a leader is told."""
+    """Becomes a follower; a former leader answers its waiting requesters.
+
+    Args:
+        state: this member.
+        term: term to adopt if it is higher than the current one.
+        leader: member id of the leader, '' if unknown.
+    """
     if term > state.term:
         state.term = term
         state.voted_for = ""
         state.disk.hard_changed = True
     if state.role is Role.LEADER:
-        _end_leading(state)
-    # A voter that no leader has reached yet gives its vote without belonging
-    # to the group: until an entry reaches it, it may still be named by another.
+        _clear_leader_state(state)
+    # A voter may grant its vote before it belongs to the group. Until it
+    # receives an entry, another group may still list it as a member.
     state.role = Role.FOLLOWER if state.group else Role.IDLE
     state.leader = leader
     state.votes.clear()
 
 
-def _end_leading(state: State) -> None:
-    """Tells askers that their operation may or may not be accepted."""
+def _clear_leader_state(state: State) -> None:
+    """Answers all waiting requesters and clears the leader's state.
+
+    An operation already in the log may still be committed by the next leader,
+    so its result is unknown.
+    """
     for op in state.pending.values():
         _reply(state, op.asker, OpReply(op.op_id, Code.APPLY_UNKNOWN))
     for read in state.reads:
@@ -52,7 +62,7 @@
 
 
 def tick(state: State) -> None:
-    """Starts an election when no leader was heard for long enough."""
+    """Starts an election when it is due; a leader checks its quorum."""
     if state.role is Role.LEADER:
         _check_quorum(state)
     elif state.role is not Role.IDLE and state.now >= state.election_at:
@@ -62,39 +72,37 @@
 
 
 def set_next_election(state: State) -> None:
-    """Sets the next election, soon while no leader was heard since the start.
+    """Sets the next election time, a short one before the first leader.
 
-    After a kill of all members nobody leads, and callers wait for each moment
-    of it. A pre-vote that comes too early changes nothing: members that hear
-    a leader refuse it.
+    After a restart of all members there is no leader and callers wait for one.
+    A premature pre-vote does no harm: members that have a leader refuse it.
     """
     state.reset_election()
     if state.heard_leader_at == float("-inf"):
-        wait = (state.election_at - state.now) * EARLY_SHARE
+        wait = (state.election_at - state.now) * STARTUP_WAIT_FRACTION
         state.election_at = state.now + wait
 
 
 def _check_quorum(state: State) -> None:
     """Steps down without recent replies from a quorum.
 
-    A leader on the wrong side of a cut would go on telling callers that it
-    leads; one would see two instances that both claim to.
+    A leader in the minority part of a network partition would otherwise go on
+    claiming to lead beside the one that the majority elects.
     """
     oldest = state.now - state.timing.election
-    heard = sum(
+    responsive = sum(
         voter == state.member_id or state.progress[voter].last_ack >= oldest
         for voter in state.voters
     )
-    if not state.quorum_of(heard):
+    if not state.quorum_of(responsive):
         become_follower(state, state.term)
 
 
 def _campaign(state: State, *, pre: bool) -> None:
-    """Asks for votes; a pre-vote changes nothing on any disk.
+    """Requests votes; a pre-vote changes no durable state.
 
-    Without pre-votes, a member that was cut off comes back with a higher
-    term and unseats a good leader: one would see a leader change at every
-    healed cut.
+    Without pre-votes, a member that was partitioned returns with a higher term
+    and deposes a working leader: a leader change after every healed partition.
     """
     state.role = Role.CANDIDATE
     state.pre_vote = pre
@@ -104,14 +112,14 @@
         state.term += 1
         state.voted_for = state.member_id
         state.disk.hard_changed = True
-    _ask_for_votes(state)
+    _request_votes(state)
     if pre:
         _count_vote(state, state.member_id)
     else:
         state.disk.new_held.append(Held(0, vote_term=state.term))
 
 
-def _ask_for_votes(state: State) -> None:
+def _request_votes(state: State) -> None:
     term = state.term + 1 if state.pre_vote else state.term
     for voter in state.voters:
         if voter == state.member_id:
@@ -129,19 +137,19 @@
 
 
 def take_own_vote(state: State, term: int) -> None:
-    """Counts the own vote, now that it is synced."""
+    """Counts this member's own vote once it is synced."""
     if state.term == term and state.role is Role.CANDIDATE:
         _count_vote(state, state.member_id)
 
 
 def take_request(state: State, msg: VoteRequest) -> None:
-    """Answers a request for a vote or a pre-vote."""
+    """Replies to a request for a vote or a pre-vote."""
     if msg.pre:
-        granted = _would_vote(state, msg)
+        granted = _grants_pre_vote(state, msg)
     else:
         if msg.term > state.term:
             become_follower(state, msg.term)
-        granted = _may_vote(state, msg)
+        granted = _grants_vote(state, msg)
         if granted:
             state.voted_for = msg.source
             state.disk.hard_changed = True
@@ -158,18 +166,18 @@
     state.send_after_sync(msg.source, reply)
 
 
-def _would_vote(state: State, msg: VoteRequest) -> bool:
-    heard = state.now - state.heard_leader_at < state.timing.election
+def _grants_pre_vote(state: State, msg: VoteRequest) -> bool:
+    has_leader = state.now - state.heard_leader_at < state.timing.election
     leads = state.role is Role.LEADER
     return (
         msg.term > state.term
-        and not heard
+        and not has_leader
         and not leads
         and _is_up_to_date(state, msg)
     )
 
 
-def _may_vote(state: State, msg: VoteRequest) -> bool:
+def _grants_vote(state: State, msg: VoteRequest) -> bool:
     return (
         msg.term == state.term
         and state.voted_for in ("", msg.source)
@@ -184,16 +192,16 @@
 
 
 def take_reply(state: State, msg: VoteReply) -> None:
-    """Counts a vote that belongs to the election under way."""
+    """Counts a vote if it belongs to the current election."""
     if msg.term > state.term:
         become_follower(state, msg.term)
         return
-    asked = state.term + 1 if state.pre_vote else state.term
+    expected_term = state.term + 1 if state.pre_vote else state.term
     if (
         state.role is Role.CANDIDATE
         and msg.granted
         and msg.pre == state.pre_vote
-        and msg.for_term == asked
+        and msg.for_term == expected_term
     ):
         _count_vote(state, msg.source)
 
--- a/greengagemoor/control/messages.py
+++ b/greengagemoor/control/messages.py
@@ -1,7 +1,7 @@
 """Messages of the control group.
 
-Payloads travel between processes of ours as protobuf messages of the same
-names (wire/peers.proto). Times are unix seconds.
+Payloads are sent between instances as protobuf messages of the same names
+(wire/peers.proto). Times are unix seconds.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from greengagemoor.control.joinmessages import JoinReply, JoinRequest
 from greengagemoor.util import values
 
-# Between members of the group. ``source`` and ``target`` are member ids: a
-# message for the identity that an instance had before it lost its disk must
-# not reach the identity that it has now.
+# Between members of the group. ``source`` and ``target`` are member ids, as an
+# instance must not process messages for the identity that it had before it lost
+# its disk.
 
 
 @values.frozen
 class VoteRequest:
-    """Asks for a vote; with ``pre`` only whether it would be given."""
+    """Requests a vote, or with ``pre`` a pre-vote."""
 
     group: str
     source: str
@@ -35,7 +35,12 @@
 
 @values.frozen
 class VoteReply:
-    """Gives or refuses a vote; ``term`` is the voter's."""
+    """Grants or refuses a vote.
+
+    Attributes:
+        term: the voter's term.
+        for_term: the term of the request.
+    """
 
     group: str
     source: str
@@ -51,8 +56,8 @@
     """Entries after ``prev_index``, or a heartbeat without any.
 
     Attributes:
-        round: grows with each heartbeat round; a quorum of replies to a round
-            confirms that the leader led when it started.
+        round: increases with each broadcast; a quorum of replies to a round
+            confirms that the sender was leader when the round started.
     """
 
     group: str
@@ -68,11 +73,11 @@
 
 @values.frozen
 class AppendReply:
-    """Answers an ``AppendRequest`` after its entries are synced.
+    """Acknowledges an append or a snapshot once it is synced.
 
     Attributes:
-        match_index: highest index known equal to the leader's, if ``ok``;
-            otherwise the highest that may be.
+        match_index: if ``ok``, the highest index known to match the leader's
+            log; otherwise the highest index that may match it.
         last_index: the follower's last index.
     """
 
@@ -88,7 +93,7 @@
 
 @values.frozen
 class InstallSnapshot:
-    """Whole state for a member whose next entries are trimmed."""
+    """Whole state, for a member whose next entries were trimmed."""
 
     group: str
     source: str
@@ -98,11 +103,11 @@
     round: int
 
 
-# Between any process of ours and the group.
+# Between any instance and the group.
 
 
 class OpKind(enum.Enum):
-    """What is asked of the leader."""
+    """Kind of an operation requested from the leader."""
 
     APPLY = "apply"
     READ = "read"
@@ -116,14 +121,14 @@
 
 @values.frozen
 class OpRequest:
-    """Asks the leader for one operation.
+    """Requests one operation from the leader.
 
     Attributes:
-        op_id: chosen by the asker; echoed in the reply.
-        command: what to append; None for READ.
-        known_version: the asker's document version, so that READ sends the
-            text only when it is newer.
-        member_id: the member to take out, for REMOVE_MEMBER.
+        op_id: chosen by the requester; echoed in the reply.
+        command: the command to append; None if the operation appends none.
+        known_version: the requester's document version; READ returns the text
+            only if it is newer.
+        member_id: the member to remove, for REMOVE_MEMBER.
     """
 
     op_id: int
@@ -135,17 +140,17 @@
 
 @values.frozen
 class OpReply:
-    """The leader's reply, or another member's that it does not lead.
+    """The leader's result, or NOT_LEADER from another member.
 
     Attributes:
-        code: a ``codes.Code``; NOT_LEADER asks to try ``leader``.
-        version: document version after the operation, or current.
+        code: a ``codes.Code``; after NOT_LEADER, retry at ``leader``.
+        version: document version after the operation, or the current one.
         text: document text, or the recorded outcome of a claim.
-        winner: apply id that won the version, for a conflict.
-        verdict: a ``codes.ClaimVerdict`` value for CLAIM.
-        detail: faults, one a line.
+        winner: for a conflict, the apply id accepted for that version.
+        verdict: a ``codes.ClaimVerdict`` value, for CLAIM.
+        detail: faults, one per line.
         packed: the numbered document, compressed, for READ_NUMBERED.
-        evacuations: the latest word on each data centre, for READ_NUMBERED.
+        evacuations: the latest state of each data centre, for READ_NUMBERED.
     """
 
     op_id: int
@@ -160,12 +165,12 @@
     evacuations: tuple[Evacuation, ...] = attrs.field(default=(), repr=False)
 
 
-# Between the decider and its disk.
+# Between the decider and its storage.
 
 
 @values.frozen
 class HardState:
-    """What a member must not forget: its group, term and vote."""
+    """Durable fields of a member besides the log: group, term and vote."""
 
     group: str
     term: int
@@ -174,11 +179,12 @@
 
 @values.frozen
 class Persist:
-    """Write these in order, sync once, then say ``Persisted(op)``.
+    """Writes to be done in order and synced once, then ``Persisted(op)``.
 
     Attributes:
         entries: an entry at or below the last index replaces the log's tail.
-        snapshot: replaces the whole log by itself, ``hard`` and ``entries``.
+        snapshot: the whole log is replaced by the snapshot, ``hard`` and
+            ``entries``.
     """
 
     op: int
@@ -189,7 +195,7 @@
 
 @values.frozen
 class Persisted:
-    """Everything up to and including ``op`` is synced."""
+    """All writes up to and including ``op`` are synced."""
 
     op: int
 
@@ -204,22 +210,22 @@
 
 @values.frozen
 class Recovered:
-    """What the data folder held at start."""
+    """Contents of the data folder at start."""
 
     hard: HardState | None
     snapshot: Snapshot | None
     entries: tuple[LogEntry, ...]
 
 
-# To other deciders and the shell.
+# Between the decider and the rest of the process.
 
 
 @values.frozen
 class Send:
-    """Send a payload to another process of ours, by instance name.
+    """A payload to be sent to another instance, by name.
 
     Attributes:
-        address: peer address when it is known to the sender, else ''.
+        address: peer address if the sender knows it, else ''.
     """
 
     to: str
@@ -229,10 +235,10 @@
 
 @values.frozen
 class Received:
-    """A payload came from another process of ours.
+    """A payload received from another instance.
 
     Attributes:
-        address: where the sender takes in messages, if it said so.
+        address: peer address given by the sender, else ''.
     """
 
     sender: str
@@ -250,7 +256,7 @@
 
 @values.frozen
 class NumberedAccepted:
-    """This member applied a committed document numbered by the operator."""
+    """This member applied a committed document with an operator's number."""
 
     number: int
     packed: bytes
@@ -258,7 +264,7 @@
 
 @values.frozen
 class EvacuationsAccepted:
-    """This member applied committed evacuations, or ends of them."""
+    """This member applied committed starts or ends of evacuations."""
 
     rows: tuple[Evacuation, ...]
 
@@ -268,7 +274,7 @@
     """A quorum confirmed that ``version`` was current.
 
     Attributes:
-        stamp: (term, round); later confirmations compare greater.
+        stamp: (term, round), which increases with each confirmation.
     """
 
     group: str
@@ -286,4 +292,4 @@
     JoinReply,
     OpRequest,
 )
-"""What the control decider takes from other processes."""
+"""Payloads that the control decider accepts from other instances."""
