--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -348,7 +348,7 @@
     Mutant(
         "joining: pauses grow",
         "control/joining.py",
-        "return state.timing.join * min(2**late, LONGEST_PAUSE)",
+        "return state.timing.join * min(2**doublings, MAX_BACKOFF_FACTOR)",
         "return state.timing.join",
         (JOINING + "::TestStorm",),
     ),
@@ -369,15 +369,15 @@
     Mutant(
         "leaving: two silent of an odd number",
         "control/members.py",
-        "len(voters) < 1 + number % 2",
-        "len(voters) < 1 or number % 2",
+        "len(voters) < 1 + count % 2",
+        "len(voters) < 1 or count % 2",
         (REPAIR + "TestReplacedElsewhere",),
     ),
     Mutant(
         "leaving: votes of lost disks",
         "control/members.py",
-        "many = len(state.voters) > LEAST_VOTERS",
-        "many = False",
+        "above_minimum = len(state.voters) > MIN_VOTERS",
+        "above_minimum = False",
         (REPAIR + "TestReplacedElsewhere",),
     ),
     Mutant(
@@ -390,14 +390,14 @@
     Mutant(
         "founding: a majority still holds its folders",
         "control/founding.py",
-        "return len(willing) >= majority and min(willing)",
-        "return min(willing)",
+        "return len(eligible) >= majority and min(eligible)",
+        "return min(eligible)",
         (FOUNDING,),
     ),
     Mutant(
         "founding: belongs to a group with its list",
         "control/replication.py",
-        "    if joins and not state.group:",
+        "    if adopt_group and not state.group:",
         "    if not state.group:",
         (FOUNDING,),
     ),
--- a/greengagemoor/control/__init__.py
+++ b/greengagemoor/control/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions on replicated state: documents and the ledger."""
+"""Control group: a replicated log of documents, ledger and evacuations."""
--- a/greengagemoor/control/founding.py
+++ b/greengagemoor/control/founding.py
@@ -1,4 +1,4 @@
-"""The first member list of a control group, and who may write it."""
+"""Founds a control group: when it is safe, and its first member list."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def may_found(state: State) -> bool:
-    """Whether this process was told to found a group and has heard of none."""
+    """Whether this process may found a group and no reply named one."""
     replies = state.joining.replies.values()
     return (
         state.founders is not None
@@ -23,15 +23,15 @@
 
 
 def is_due(state: State) -> bool:
-    """Whether this process is to found the group now.
+    """Whether this process must found the group now.
 
-    An instance that lost its disk looks like one that never had any. If it
-    founded a second group, entries could take its empty history for the true
-    one. So all founders must say, in answer to one round of requests, that
-    they belong to no group. A majority of them must still hold the disks with
-    which they were told to found: a group that they had founded before would
-    have none of their votes, so nothing was accepted in it. The first of
-    those by name goes ahead.
+    An instance that lost its disk looks like a new one. If it founded a second
+    group, entry instances could accept that group's empty history. So all
+    founders must reply to the same round of requests that they belong to no
+    group, and a majority must still hold the disks with which they were
+    configured to found one. An earlier group would have none of the votes of
+    that majority, so it cannot have accepted anything. The first of the
+    majority by name founds the group.
     """
     if not may_found(state):
         return False
@@ -42,17 +42,17 @@
         for reply in replies.values()
     ):
         return False
-    willing = [name for name, reply in replies.items() if reply.may_found]
-    willing.append(state.instance)
+    eligible = [name for name, reply in replies.items() if reply.may_found]
+    eligible.append(state.instance)
     majority = (len(replies) + 1) // 2 + 1
-    return len(willing) >= majority and min(willing) == state.instance
+    return len(eligible) >= majority and min(eligible) == state.instance
 
 
 def found(state: State) -> None:
-    """Writes the first list: all founders vote, so one disk is never enough.
+    """Writes the first member list, with all founders as voters.
 
-    A founder that was the only voter would accept changes alone, and the loss
-    of its disk before another had them would lose them and the group.
+    If the founder were the only voter, it would accept changes alone, and the
+    loss of its disk before they are replicated would lose them and the group.
     """
     others = [
         Member(reply.member_id, name, state.founders[name], voter=True)
--- a/greengagemoor/control/joining.py
+++ b/greengagemoor/control/joining.py
@@ -1,4 +1,4 @@
-"""Asking to be taken into a control group, or founding one."""
+"""Requests to join a control group, or founds one."""
 
 from __future__ import annotations
 
@@ -17,45 +17,46 @@
 if TYPE_CHECKING:
     from greengagemoor.control.state import State
 
-ASKED_AT_ONCE = 3
-"""Instances asked in a round, besides the one that is said to lead. Each of
-them passes the request on, so with 300 processes outside, and a second between
-their rounds, members take in 1,200 requests a second together."""
-EAGER_ASKS = 8
-"""Rounds at the interval ``Timing.join``; later ones are twice as far apart
-each time, up to ``LONGEST_PAUSE`` intervals."""
-LONGEST_PAUSE = 4
-MOST_CONTACTS = 64
-"""Addresses kept of what others told; those told first are forgotten first."""
-FIRST_TOLD_S = 1.0
-LONGEST_TOLD_S = 30.0
-"""A wait is told after a second, then at twice the age each time: a process
-that stays outside for a day writes some thousand lines."""
+TARGETS_PER_ROUND = 3
+"""Instances asked per round besides the reported leader. Each forwards the
+request, so 300 processes that ask once per second cause 1,200 requests per
+second across all members."""
+ROUNDS_BEFORE_BACKOFF = 8
+"""Rounds at the interval ``Timing.join``; the interval then doubles each round,
+up to ``MAX_BACKOFF_FACTOR`` times ``Timing.join``."""
+MAX_BACKOFF_FACTOR = 4
+MAX_CONTACTS = 64
+"""Learnt addresses that are kept; the least recently learnt is evicted."""
+FIRST_NOTICE_S = 1.0
+MAX_NOTICE_INTERVAL_S = 30.0
+"""Notices of a wait come after ``FIRST_NOTICE_S``, then each time the wait has
+doubled, at least once per this interval: a process that waits for a day writes
+a few thousand log lines."""
 
 
 def tick(state: State) -> None:
-    """Asks to be taken in, while this member has reason to."""
+    """Requests to join while this member needs to, or founds a group."""
     joining = state.joining
     if not _wants_to_join(state):
         joining.since = None
         return
     if joining.since is None:
-        _begin(state)
+        _start_joining(state)
     if founding.is_due(state):
         founding.found(state)
         return
     if state.now >= joining.ask_at:
-        _ask(state)
+        _send_requests(state)
     if state.now >= joining.tell_at:
-        _tell(state)
+        _emit_notice(state)
 
 
 def _wants_to_join(state: State) -> bool:
-    """Whether nobody can be relied on to send this process the log.
+    """Whether this process may receive no log unless it asks to join.
 
-    A learner whose leader is gone may be in nobody's list. A voter may have
-    been taken out while it was silent; back again it would ask for votes for
-    ever, as nobody sends it the list in which it is missing.
+    A learner without a leader may be missing from the lists of all members. A
+    voter may have been removed while it was silent; it would request votes for
+    ever, as nobody sends it the list from which it was removed.
     """
     if state.role is Role.LEADER:
         return False
@@ -66,21 +67,21 @@
     return silent > (timing.retire if state.is_voter else timing.election)
 
 
-def _begin(state: State) -> None:
+def _start_joining(state: State) -> None:
     joining = state.joining
     joining.since = joining.ask_at = state.now
-    joining.tell_at = state.now + FIRST_TOLD_S
+    joining.tell_at = state.now + FIRST_NOTICE_S
     joining.asks = 0
     joining.leader = ""
     joining.replies.clear()
 
 
-def _ask(state: State) -> None:
+def _send_requests(state: State) -> None:
     joining = state.joining
     joining.round += 1
     joining.asks += 1
-    joining.ask_at = state.now + _pause(state)
-    asked = _whom(state)
+    joining.ask_at = state.now + _request_interval(state)
+    asked = _select_targets(state)
     joining.asked = tuple(asked)
     request = JoinRequest(
         state.member_id, state.instance, state.address, joining.round
@@ -89,18 +90,18 @@
         state.out.append(Send(name, request, address))
 
 
-def _pause(state: State) -> float:
-    late = state.joining.asks - EAGER_ASKS
-    if late <= 0 or founding.may_found(state):
+def _request_interval(state: State) -> float:
+    doublings = state.joining.asks - ROUNDS_BEFORE_BACKOFF
+    if doublings <= 0 or founding.may_found(state):
         return state.timing.join
-    return state.timing.join * min(2**late, LONGEST_PAUSE)
+    return state.timing.join * min(2**doublings, MAX_BACKOFF_FACTOR)
 
 
-def _whom(state: State) -> dict[str, str]:
-    """Returns whom to ask: who is said to lead, and others in turn.
+def _select_targets(state: State) -> dict[str, str]:
+    """Returns the addresses to ask: the reported leader, others in rotation.
 
-    The seeds of the settings alone may all have ended, or be followers that
-    can't reach their leader.
+    The seeds in the settings alone do not suffice: all may have stopped, or be
+    followers that cannot reach their leader.
     """
     known = contacts(state)
     if founding.may_found(state):
@@ -108,33 +109,33 @@
     joining = state.joining
     names = [name for name in known if name != joining.leader]
     start = joining.turn % max(1, len(names))
-    joining.turn = start + ASKED_AT_ONCE
-    turn = (names[start:] + names[:start])[:ASKED_AT_ONCE]
-    first = [joining.leader] if joining.leader in known else []
-    return {name: known[name] for name in first + turn}
+    joining.turn = start + TARGETS_PER_ROUND
+    others = (names[start:] + names[:start])[:TARGETS_PER_ROUND]
+    preferred = [joining.leader] if joining.leader in known else []
+    return {name: known[name] for name in preferred + others}
 
 
 def contacts(state: State) -> dict[str, str]:
-    """Returns the addresses of all that may know a group, by instance."""
+    """Returns addresses of instances that may know a group, by instance."""
     members = {m.instance: m.address for m in state.members.values()}
-    told = state.joining.contacts
-    known = {**state.peers, **(state.founders or {}), **members, **told}
+    learnt = state.joining.contacts
+    known = {**state.peers, **(state.founders or {}), **members, **learnt}
     known.pop(state.instance, None)
     return known
 
 
-def meet(state: State, told: dict[str, str]) -> None:
-    """Keeps addresses that others told."""
+def meet(state: State, addresses: dict[str, str]) -> None:
+    """Records addresses learnt from others, by instance."""
     kept = state.joining.contacts
-    for name, address in told.items():
+    for name, address in addresses.items():
         kept.pop(name, None)
         kept[name] = address
-    while len(kept) > MOST_CONTACTS:
+    while len(kept) > MAX_CONTACTS:
         del kept[next(iter(kept))]
 
 
 def take_seeds(state: State, msg: SeedsChanged) -> None:
-    """Takes in changed settings, and asks those that they name now."""
+    """Replaces the peers after a change of settings and asks them at once."""
     state.peers = {
         name: address
         for name, address in msg.seeds.items()
@@ -145,7 +146,7 @@
 
 
 def take_reply(state: State, sender: str, msg: JoinReply) -> None:
-    """Learns from another control instance who belongs to its group."""
+    """Records the members and the leader that a join reply names."""
     joining = state.joining
     if joining.since is None:
         return
@@ -155,14 +156,16 @@
         joining.leader = msg.leader.partition("#")[0]
 
 
-def _tell(state: State) -> None:
+def _emit_notice(state: State) -> None:
     joining = state.joining
     age = state.now - joining.since
-    joining.tell_at = state.now + min(max(age, FIRST_TOLD_S), LONGEST_TOLD_S)
-    state.out.append(JoinWaiting(joining.asked, _reason(state), age))
+    joining.tell_at = state.now + min(
+        max(age, FIRST_NOTICE_S), MAX_NOTICE_INTERVAL_S
+    )
+    state.out.append(JoinWaiting(joining.asked, _waiting_reason(state), age))
 
 
-def _reason(state: State) -> str:
+def _waiting_reason(state: State) -> str:
     replies = state.joining.replies.values()
     if not replies:
         return "no_answer"
--- a/greengagemoor/control/joinmessages.py
+++ b/greengagemoor/control/joinmessages.py
@@ -1,4 +1,4 @@
-"""Messages of a process that is outside a control group and wants in."""
+"""Messages of a process that asks to join a control group."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 @values.frozen
 class JoinRequest:
-    """A process with the control role asks to belong to a group.
+    """A control instance asks to join a group.
 
     Attributes:
-        round: counts what the asker sent; echoed in the replies.
-        forwarded: whether a member passed it on to its leader, so that
-            nobody passes it on again.
+        round: number of the sender's round of requests; echoed in replies.
+        forwarded: whether a member forwarded it to its leader; it is not
+            forwarded a second time.
     """
 
     member_id: str
@@ -25,15 +25,15 @@
 
 @values.frozen
 class JoinReply:
-    """Tells a joiner what this process knows of a group.
+    """The sender's group, leader and members, for a joiner.
 
     Attributes:
-        group: the group that this process belongs to, '' for none.
-        member_id: this process under its present identity.
-        may_found: whether it was told to found a group, has never belonged to
-            one, and still has the disk with which it was told so.
+        group: the group that the sender belongs to, '' for none.
+        member_id: the sender's member id under its current identity.
+        may_found: whether the sender was configured to found a group, has
+            never belonged to one, and still has the disk that it had then.
         leader: member id of the leader, '' if none is known.
-        members: some of the group's voters; the leader is among them.
+        members: the leader, if known, and some of the group's voters.
         round: as in the request.
     """
 
@@ -47,7 +47,7 @@
 
 @values.frozen
 class SeedsChanged:
-    """The settings name other control instances than before.
+    """The control instances named in the settings have changed.
 
     Attributes:
         seeds: peer addresses by instance.
--- a/greengagemoor/control/log.py
+++ b/greengagemoor/control/log.py
@@ -1,4 +1,4 @@
-"""The in-memory tail of the replicated log, after a snapshot."""
+"""In-memory tail of the replicated log, after the snapshot."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Log:
-    """Entries from ``first_index`` on; what is before is in the snapshot."""
+    """Entries from ``first_index`` on; a snapshot covers earlier ones."""
 
     def __init__(
         self,
@@ -54,19 +54,20 @@
         """Returns the entry at ``index``; it must be kept."""
         return self._entries[index - self.first_index]
 
-    def slice(self, start: int, most: int) -> tuple[LogEntry, ...]:
-        """Returns up to ``most`` entries from ``start`` on."""
+    def slice(self, start: int, limit: int) -> tuple[LogEntry, ...]:
+        """Returns up to ``limit`` entries from index ``start`` on."""
         offset = start - self.first_index
-        return tuple(self._entries[offset : offset + most])
+        return tuple(self._entries[offset : offset + limit])
 
     def append(self, entry: LogEntry) -> None:
         """Adds the next entry."""
         self._entries.append(entry)
 
     def merge(self, entries: Iterable[LogEntry]) -> tuple[LogEntry, ...]:
-        """Takes a leader's entries; returns those that were new here.
+        """Adds a leader's entries; returns those that were new.
 
-        An entry that conflicts with one kept replaces it and all after it.
+        An entry that conflicts with a stored one replaces it and all later
+        ones.
         """
         kept = [e for e in entries if e.index >= self.first_index]
         new = list(dropwhile(lambda e: self.term_at(e.index) == e.term, kept))
@@ -76,7 +77,7 @@
         return tuple(new)
 
     def trim(self, index: int) -> None:
-        """Forgets entries up to ``index``, which a snapshot now covers."""
+        """Discards entries up to ``index``, which a snapshot now covers."""
         if index <= self._base_index:
             return
         term = self.term_at(index)
@@ -87,7 +88,7 @@
         self._base_members = members
 
     def members_at(self, index: int) -> tuple[Member, ...]:
-        """Returns the member list in force after ``index``."""
+        """Returns the member list in effect after ``index``."""
         kept = self._entries[: max(0, index - self._base_index)]
         for entry in reversed(kept):
             if isinstance(entry.command, ChangeMembers):
--- a/greengagemoor/control/members.py
+++ b/greengagemoor/control/members.py
@@ -1,4 +1,4 @@
-"""The leader's changes of the member list, one voter at a time."""
+"""Changes of the member list by the leader, one voter at a time."""
 
 from __future__ import annotations
 
@@ -19,44 +19,45 @@
 
     from greengagemoor.control.state import State
 
-LEAST_VOTERS = 3
-"""The smallest group that bears a loss."""
-MOST_TOLD = 9
-"""Voters named in a reply to a joiner."""
-MOST_JOINERS = 1024
-"""Joiners that a leader remembers; more ask again by themselves."""
-JOINER_KEPT = 8
-"""Join intervals for which a leader remembers one: twice the longest time
-after which it asks again."""
+MIN_VOTERS = 3
+"""Smallest number of voters that tolerates a loss."""
+MAX_MEMBERS_IN_REPLY = 9
+"""Members listed in a reply to a joiner."""
+MAX_PENDING_JOINERS = 1024
+"""Joiners that a leader records; others are dropped and ask again."""
+JOINER_TTL_INTERVALS = 8
+"""Join intervals after which a recorded joiner expires: twice the longest time
+between its requests."""
 
 
 @values.frozen
 class _Change:
-    """A member list to be appended, and why."""
+    """A member list to be appended, and the reason for it."""
 
     members: tuple[Member, ...]
     reason: str
 
 
 def tick(state: State) -> None:
-    """Changes the list, as the leader, where there is reason to.
+    """Makes at most one change of the member list, if this member leads.
 
-    What lets the group bear more at once comes first: votes of disks that are
-    known to be lost, then new votes, then those that are only silent.
+    Joiners are added first; this changes no votes. The other changes come in
+    the order in which they raise the tolerance for losses: removing voters
+    whose disk is known to be lost, promoting learners, removing silent members.
     """
     if state.role is not Role.LEADER or not _may_change(state):
         return
-    for find in (_take_in, _drop_replaced, _promote, _drop_silent):
-        change = find(state)
+    for propose in (_add_joiners, _remove_replaced, _promote, _remove_silent):
+        change = propose(state)
         if change is not None:
-            _change(state, change)
+            _append_change(state, change)
             return
 
 
 def take_request(state: State, msg: JoinRequest) -> None:
-    """Answers a joiner; the leader takes it in, others tell the leader.
+    """Replies to a joiner; the leader records it, others forward the request.
 
-    A joiner may know only this member, and may not reach the leader.
+    The joiner may know only this member, or be unable to reach the leader.
     """
     leader = state.members.get(state.leader)
     reply = JoinReply(
@@ -64,33 +65,38 @@
         member_id=state.member_id,
         may_found=founding.may_found(state),
         leader=state.leader if leader else "",
-        members=_told(state, leader),
+        members=_members_for_reply(state, leader),
         round=msg.round,
     )
     state.out.append(Send(msg.instance, reply, msg.address))
     if state.role is Role.LEADER:
-        _note_joiner(state, msg)
+        _record_joiner(state, msg)
     elif leader is not None and not msg.forwarded:
         forward = attrs.evolve(msg, forwarded=True)
         state.out.append(Send(leader.instance, forward, leader.address))
 
 
-def _told(state: State, leader: Member | None) -> tuple[Member, ...]:
+def _members_for_reply(
+    state: State, leader: Member | None
+) -> tuple[Member, ...]:
     voters = [m for m in state.members.values() if m.voter and m is not leader]
     first = [leader] if leader is not None else []
-    return tuple((first + voters)[:MOST_TOLD])
+    return tuple((first + voters)[:MAX_MEMBERS_IN_REPLY])
 
 
-def _note_joiner(state: State, msg: JoinRequest) -> None:
-    if msg.member_id in state.members or len(state.joiners) >= MOST_JOINERS:
+def _record_joiner(state: State, msg: JoinRequest) -> None:
+    if (
+        msg.member_id in state.members
+        or len(state.joiners) >= MAX_PENDING_JOINERS
+    ):
         return
     joiner = Member(msg.member_id, msg.instance, msg.address, voter=False)
     state.joiners[msg.instance] = Joiner(joiner, state.now)
 
 
-def _take_in(state: State) -> _Change | None:
-    """Takes in all that ask, at once: they have no vote yet."""
-    oldest = state.now - JOINER_KEPT * state.timing.join
+def _add_joiners(state: State) -> _Change | None:
+    """Adds all waiting joiners in one change, as learners have no vote."""
+    oldest = state.now - JOINER_TTL_INTERVALS * state.timing.join
     joiners = {
         name: joiner.member
         for name, joiner in state.joiners.items()
@@ -109,14 +115,14 @@
 
 
 def _may_change(state: State) -> bool:
-    """Whether the last change is committed, so that quorums always overlap."""
+    """Whether the last change is committed, so that quorums overlap."""
     return (
         state.commit >= state.term_start_index
         and state.commit >= state.members_index
     )
 
 
-def _change(state: State, change: _Change) -> None:
+def _append_change(state: State, change: _Change) -> None:
     election.append(state, ChangeMembers(change.members, time=state.now))
     state.set_members(change.reason)
     for member_id in set(state.members) - {state.member_id}:
@@ -129,9 +135,9 @@
     replication.commit_by_quorum(state)
 
 
-def _without(state: State, gone: Iterable[Member], reason: str) -> _Change:
-    left = [m for m in state.members.values() if m not in gone]
-    return _Change(tuple(left), reason)
+def _without(state: State, removed: Iterable[Member], reason: str) -> _Change:
+    remaining = [m for m in state.members.values() if m not in removed]
+    return _Change(tuple(remaining), reason)
 
 
 def _promote(state: State) -> _Change | None:
@@ -145,32 +151,32 @@
 
 
 def _is_ready(state: State, member: Member) -> bool:
-    """Whether a member has synced all that is committed.
+    """Whether a member has recently synced all committed entries.
 
-    A voter that still waits for the state counts for every quorum and can't
-    help to fill one: the group would be said to bear a further loss, and a
-    second failure right after the repair would stop it.
+    A voter without them raises the quorum but cannot contribute to it. The
+    group would be reported to tolerate another loss, and a second failure
+    right after the repair would stop it.
     """
     progress = state.progress[member.member_id]
     recent = progress.last_ack >= state.now - state.timing.election
     return recent and progress.answered and progress.match_index >= state.commit
 
 
-def _drop_replaced(state: State) -> _Change | None:
-    """Takes out a voter whose instance answers under a newer identity.
+def _remove_replaced(state: State) -> _Change | None:
+    """Removes a voter whose instance replies under a newer identity.
 
-    Its disk is lost for certain, so its vote can only hinder. In a small
-    group it stays until the newer identity votes.
+    Its disk is certainly lost, so it can never vote again. In a small group it
+    stays until the newer identity is a voter.
     """
     members = list(state.members.values())
-    many = len(state.voters) > LEAST_VOTERS
-    newer: dict[str, Member] = {}
+    above_minimum = len(state.voters) > MIN_VOTERS
+    newest: dict[str, Member] = {}
     for member in reversed(members):
-        latest = newer.setdefault(member.instance, member)
+        latest = newest.setdefault(member.instance, member)
         if (
             latest is not member
             and member.voter
-            and (latest.voter or many)
+            and (latest.voter or above_minimum)
             and _has_answered(state, latest)
         ):
             return _without(state, [member], "disk_lost")
@@ -178,25 +184,25 @@
 
 
 def _has_answered(state: State, member: Member) -> bool:
-    """Whether a member has shown that it runs; the leader itself does."""
+    """Whether a member has replied to this leader, or is the leader."""
     if member.member_id == state.member_id:
         return True
     progress = state.progress.get(member.member_id)
     return progress is not None and progress.answered
 
 
-def _drop_silent(state: State) -> _Change | None:
-    """Takes out members that were silent for long.
+def _remove_silent(state: State) -> _Change | None:
+    """Removes members that have been silent for ``Timing.retire``.
 
-    Learners go all at once. A machine that is gone for good may be replaced
-    at another address, and its vote would stay: after three such replacements
-    of five, eight voters need five, just as many as are left, and the next
-    loss stops the group.
+    Learners are removed all at once. A voter whose machine was replaced at
+    another address would otherwise remain: after three such replacements in a
+    group of five, eight voters need a majority of five, exactly those that
+    are left, and the next loss stops the group.
 
-    Of an even number one voter less is a smaller majority. Of an odd number
-    one alone brings nothing, and had to join again when it comes back; two
-    are taken out one after the other, since five voters of which two are gone
-    bear no loss, and the three that are left bear one.
+    With an even number of voters, removing one lowers the majority. With an
+    odd number, removing only one gains nothing, and it would have to join
+    again on its return. Two are removed, one after the other: five voters
+    with two lost tolerate no further loss, the remaining three tolerate one.
     """
     oldest = state.now - state.timing.retire
     silent = [
@@ -209,27 +215,31 @@
     if learners:
         return _without(state, learners, "silent")
     voters = [member for member in silent if member.voter]
-    number = len(state.voters)
-    if number <= LEAST_VOTERS or len(voters) < 1 + number % 2:
+    count = len(state.voters)
+    if count <= MIN_VOTERS or len(voters) < 1 + count % 2:
         return None
-    longest = min(voters, key=lambda m: state.progress[m.member_id].last_ack)
-    return _without(state, [longest], "silent")
+    longest_silent = min(
+        voters, key=lambda m: state.progress[m.member_id].last_ack
+    )
+    return _without(state, [longest_silent], "silent")
 
 
 def remove(state: State, member_id: str) -> str:
-    """Takes a member out by an operator's word; returns a fault, or ''."""
+    """Removes a member on an operator's request; returns an error, or ''."""
     if member_id not in state.members:
-        return f"no member {member_id}"
+        return f"{member_id} is not a member of the control group"
     if member_id == state.member_id:
-        return "the leader can't take itself out; ask when another leads"
+        return "the leader cannot remove itself; retry under another leader"
     if not _may_change(state):
-        return "another change of members is under way"
-    _change(state, _without(state, [state.members[member_id]], "operator"))
+        return "previous member change is not committed yet; retry later"
+    _append_change(
+        state, _without(state, [state.members[member_id]], "operator")
+    )
     return ""
 
 
 def tell_changes(state: State) -> None:
-    """Tells operators how the list that this member goes by has changed."""
+    """Reports a change of this member's member list to operators."""
     old, new = state.told_members, state.members
     if old is new:
         return
--- a/greengagemoor/control/replication.py
+++ b/greengagemoor/control/replication.py
@@ -1,4 +1,4 @@
-"""Replicates the log, commits by quorum, applies, and takes snapshots."""
+"""Replicates the log, commits by quorum, applies entries, takes snapshots."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     from greengagemoor.control.commands import LogEntry
     from greengagemoor.control.state import Progress, State
 
-MOST_ENTRIES = 256
+MAX_ENTRIES_PER_APPEND = 256
 SNAPSHOT_EVERY = 1000
 KEPT_BEHIND_SNAPSHOT = 200
 
@@ -42,7 +42,7 @@
     if progress.next_index < state.log.first_index:
         _send_snapshot(state, member_id, progress)
         return
-    entries = state.log.slice(progress.next_index, MOST_ENTRIES)
+    entries = state.log.slice(progress.next_index, MAX_ENTRIES_PER_APPEND)
     prev_index = progress.next_index - 1
     request = AppendRequest(
         group=state.group,
@@ -60,7 +60,10 @@
 
 
 def _send_snapshot(state: State, member_id: str, progress: Progress) -> None:
-    """Sends the whole state, not again before the member could take it in."""
+    """Sends the snapshot, at most once per election time to each member.
+
+    The pause gives the member time to install it.
+    """
     if state.now - progress.snapshot_sent_at < state.timing.election:
         return
     progress.snapshot_sent_at = state.now
@@ -76,14 +79,14 @@
 
 
 def take_append(state: State, msg: AppendRequest) -> None:
-    """Takes in a leader's entries and acknowledges them once synced."""
+    """Stores a leader's entries and acknowledges them once synced."""
     if msg.term < state.term:
         _reply(state, msg, ok=False, match_index=0)
         return
     matches = _matches(state, msg.prev_index, msg.prev_term)
-    _follow(state, msg, joins=matches)
+    _follow(state, msg, adopt_group=matches)
     if not matches:
-        agreed = _agreed_before(state, msg.prev_index)
+        agreed = _highest_possible_match(state, msg.prev_index)
         _reply(state, msg, ok=False, match_index=agreed)
         return
     new = state.log.merge(msg.entries)
@@ -97,14 +100,15 @@
 
 
 def _follow(
-    state: State, msg: AppendRequest | InstallSnapshot, *, joins: bool
+    state: State, msg: AppendRequest | InstallSnapshot, *, adopt_group: bool
 ) -> None:
-    """Follows a leader; belongs to its group once it holds its list.
+    """Follows a leader, and joins its group if ``adopt_group`` is set.
 
-    A process that belonged to a group without the list could neither vote for
-    it in an election of its own nor help to found another.
+    It is set once this log holds the group's member list. A process in a group
+    whose list it lacks could neither start an election nor help to found
+    another group.
     """
-    if joins and not state.group:
+    if adopt_group and not state.group:
         state.group = msg.group
         state.disk.hard_changed = True
     election.become_follower(state, msg.term, msg.source)
@@ -113,17 +117,17 @@
 
 
 def _matches(state: State, index: int, term: int) -> bool:
-    # What a snapshot covers is committed, so it is equal in every log.
+    # Entries covered by a snapshot are committed, so they match in every log.
     if index < state.log.first_index - 1:
         return True
     return state.log.term_at(index) == term
 
 
-def _agreed_before(state: State, index: int) -> int:
-    """Returns how far this log may agree with one that differs at an index.
+def _highest_possible_match(state: State, index: int) -> int:
+    """Returns the highest index that may match a log that differs at ``index``.
 
-    Goes back over all entries of the term that differs, as a member that led
-    while it was cut off holds many; what is committed agrees for certain.
+    Skips all entries of the conflicting term, as a member that led during a
+    network partition may hold many. Committed entries always match.
     """
     term = state.log.term_at(index)
     agreed = min(index - 1, state.log.last_index)
@@ -153,11 +157,11 @@
 
 
 def take_snapshot(state: State, msg: InstallSnapshot) -> None:
-    """Replaces the state by the leader's, unless it is older."""
+    """Installs the leader's snapshot, unless this state is as recent."""
     if msg.term < state.term:
         _reply(state, msg, ok=False, match_index=0)
         return
-    _follow(state, msg, joins=True)
+    _follow(state, msg, adopt_group=True)
     snapshot = msg.snapshot
     if snapshot.index > state.commit:
         restore(state, snapshot)
@@ -170,7 +174,7 @@
 
 
 def restore(state: State, snapshot: Snapshot) -> None:
-    """Sets log and state machines to a snapshot."""
+    """Sets log and state machine to a snapshot."""
     state.snapshot = snapshot
     state.log = Log(snapshot.index, snapshot.term, snapshot.members)
     state.commit = snapshot.index
@@ -180,7 +184,7 @@
 
 
 def take_reply(state: State, msg: AppendReply) -> None:
-    """Learns how far a member is."""
+    """Updates a member's progress from its acknowledgement."""
     if msg.term > state.term:
         election.become_follower(state, msg.term)
         return
@@ -193,8 +197,8 @@
     progress.answered = True
     progress.acked_round = max(progress.acked_round, msg.round)
     if not msg.ok:
-        # Not one less than what was sent last: that moves on with each send,
-        # and the two would exchange the same entries for ever.
+        # Not ``next_index - 1``: each send moves ``next_index`` forward again,
+        # so the same entries would be sent and rejected for ever.
         agreed = max(progress.match_index, msg.match_index)
         progress.next_index = min(progress.next_index, agreed + 1)
         state.broadcast_due = True
@@ -207,10 +211,10 @@
 
 
 def commit_by_quorum(state: State) -> None:
-    """Commits what a majority of the voters has synced in this term."""
+    """Commits entries of this term that a majority of voters has synced."""
     if state.role is not Role.LEADER:
         return
-    matches = sorted(_voter_matches(state), reverse=True)
+    matches = sorted(_voter_match_indexes(state), reverse=True)
     if not matches:
         return
     index = matches[len(matches) // 2]
@@ -219,7 +223,7 @@
         state.broadcast_due = True
 
 
-def _voter_matches(state: State) -> Iterator[int]:
+def _voter_match_indexes(state: State) -> Iterator[int]:
     for voter in state.voters:
         if voter == state.member_id:
             yield min(state.disk.synced_index, state.log.last_index)
@@ -261,28 +265,29 @@
 
 
 def announce_numbered(state: State) -> None:
-    """Tells this process of the numbered document, if there is one."""
+    """Emits the numbered document within this process, if there is one."""
     numbered = state.machine.numbered
     if numbered.number:
         state.out.append(NumberedAccepted(numbered.number, numbered.packed))
 
 
 def announce_evacuations(state: State) -> None:
-    """Tells this process of evacuations, if there ever was one."""
+    """Emits the evacuations within this process, if there are any rows."""
     rows = state.machine.evacuations.rows()
     if rows:
         state.out.append(EvacuationsAccepted(rows))
 
 
 def _snapshot_when_due(state: State) -> None:
-    """Keeps log, folder and restart time bounded.
+    """Takes a snapshot to bound the log, the data folder and restart time.
 
-    A snapshot costs time in what exists, so a large ledger gets one after as
-    many entries as it has rows: the cost for each entry stays the same.
+    A snapshot takes time in proportion to the state. With a large ledger, one
+    is taken after as many entries as the ledger has rows, so the cost per entry
+    stays constant.
     """
-    taken = state.snapshot.index if state.snapshot else 0
-    due = max(SNAPSHOT_EVERY, len(state.machine.ledger))
-    if state.applied - taken < due:
+    snapshot_index = state.snapshot.index if state.snapshot else 0
+    interval = max(SNAPSHOT_EVERY, len(state.machine.ledger))
+    if state.applied - snapshot_index < interval:
         return
     state.snapshot = Snapshot(
         index=state.applied,
--- a/tests/test_control/test_joining.py
+++ b/tests/test_control/test_joining.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from greengagemoor.codes import Code
-from greengagemoor.control.joining import ASKED_AT_ONCE, LONGEST_PAUSE
+from greengagemoor.control.joining import TARGETS_PER_ROUND, MAX_BACKOFF_FACTOR
 from greengagemoor.control.joinmessages import JoinReply, JoinRequest
 from greengagemoor.control.messages import Received
 from tests.test_control.helpers import (
@@ -238,8 +238,8 @@
         fleet.sent.clear()
         fleet.run(10.0)
         join = fleet.nodes["n0"].control.state.timing.join
-        rounds = 10.0 / (join * LONGEST_PAUSE) + 1
-        most = self.NUMBER * rounds * (ASKED_AT_ONCE + 1)
+        rounds = 10.0 / (join * MAX_BACKOFF_FACTOR) + 1
+        most = self.NUMBER * rounds * (TARGETS_PER_ROUND + 1)
         assert fleet.sent[JoinRequest] <= most
         assert fleet.sent[JoinReply] <= most
 
