--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -322,7 +322,7 @@
         "control/members.py",
         "elif leader is not None and not msg.forwarded:",
         "elif leader is not None:",
-        (JOINING + "::TestStorm",),
+        (JOINING + "::TestManyJoiners",),
     ),
     Mutant(
         "joining: told who leads",
@@ -350,7 +350,7 @@
         "control/joining.py",
         "return state.timing.join * min(2**doublings, MAX_BACKOFF_FACTOR)",
         "return state.timing.join",
-        (JOINING + "::TestStorm",),
+        (JOINING + "::TestManyJoiners",),
     ),
     Mutant(
         "joining: learners that are gone go",
--- a/tests/test_control/conftest.py
+++ b/tests/test_control/conftest.py
@@ -1,4 +1,4 @@
-"""A whole control group and an operator, for the tests of this package."""
+"""Fixtures: a complete control group and an operator."""
 
 from __future__ import annotations
 
--- a/tests/test_control/helpers.py
+++ b/tests/test_control/helpers.py
@@ -1,4 +1,4 @@
-"""A control group in a fake fleet, and what must hold of it."""
+"""Helpers for tests with a control group in a fake fleet."""
 
 from __future__ import annotations
 
@@ -15,18 +15,19 @@
 
 
 def start_group(names=GROUP, seed: int = 1, pace: float = 1.0) -> FakeFleet:
-    """Returns a fleet whose control group is whole and has a leader."""
+    """Returns a fleet whose control group is complete and has a leader."""
     fleet = FakeFleet(seed, pace)
     for name in names:
         fleet.add(name, ("control",), group=names)
     fleet.run_until(lambda: is_whole(fleet, names))
-    # A group is whole before gossip has told anybody of all its members.
+    # The group is complete before gossip has spread the addresses of all
+    # members.
     fleet.run(GOSSIP_S * pace)
     return fleet
 
 
 def is_whole(fleet: FakeFleet, names=GROUP) -> bool:
-    """Whether the leader counts all instances as live voters, and no other."""
+    """Whether the group's members are exactly the instances, as live voters."""
     leader = fleet.leader()
     if not leader:
         return False
@@ -39,12 +40,12 @@
 
 
 def document(number: int) -> str:
-    """Returns a valid document that differs by its number."""
+    """Returns a valid document that differs for each number."""
     return json.dumps({"entries": ["e1"], "silent_after_s": 1 + number})
 
 
 class Operator:
-    """Sends applies and reads, and keeps the results."""
+    """Sends applies and reads, and looks up their results."""
 
     def __init__(self, fleet: FakeFleet):
         self.fleet = fleet
@@ -52,14 +53,14 @@
     def apply(
         self, at: str, apply_id: str, replaces: int, number: int, wait=5.0
     ) -> str:
-        """Sends an apply; its result is under the returned token."""
+        """Sends an apply; returns the token of its result."""
         token = f"{apply_id}@{at}/{self.fleet.now}"
         command = ApplyDocument(apply_id, replaces, document(number), 0.0)
         self._ask(at, Ask(token, OpKind.APPLY, self.fleet.now + wait, command))
         return token
 
     def read(self, at: str, wait=5.0) -> str:
-        """Sends a read; its result is under the returned token."""
+        """Sends a read; returns the token of its result."""
         token = f"read@{at}/{self.fleet.now}"
         self._ask(at, Ask(token, OpKind.READ, self.fleet.now + wait))
         return token
@@ -68,25 +69,25 @@
         self.fleet.put(at, ask)
 
     def result(self, token: str) -> Done | None:
-        """Returns what a token got, None so far."""
+        """Returns the result for a token, None if there is none yet."""
         found = [d for d in self.fleet.replies(Done) if d.token == token]
         assert len(found) <= 1
         return found[0] if found else None
 
     def wait(self, token: str) -> Done:
-        """Runs until a token has its result."""
+        """Runs until there is a result for a token and returns it."""
         self.fleet.run_until(lambda: self.result(token))
         return self.result(token)
 
     def accept(self, at: str, apply_id: str, replaces: int, number: int):
-        """Applies and expects it to be accepted."""
+        """Applies a document and asserts that it is accepted."""
         done = self.wait(self.apply(at, apply_id, replaces, number))
         assert done.reply.code == Code.ACCEPTED, done
         return done
 
 
 def versions(fleet: FakeFleet) -> dict[str, int]:
-    """Returns the document version of each live control machine."""
+    """Returns the document version of each running control instance."""
     return {
         name: node.control.state.machine.documents.version
         for name, node in fleet.nodes.items()
@@ -95,27 +96,27 @@
 
 
 def others(leader: str) -> list[str]:
-    """Returns the control instances that do not lead."""
+    """Returns the control instances other than the leader."""
     return [name for name in GROUP if name != leader]
 
 
 def add_newcomer(fleet: FakeFleet, name: str, seeds) -> None:
-    """Starts an empty control instance that knows only its seeds.
+    """Starts a new control instance that knows only its seeds.
 
-    Gossip of other roles is lost, so that control instances find each other
-    by what the control group says itself.
+    Gossip is dropped from then on, so control instances learn of each other
+    only from messages of the control group.
     """
     fleet.loses = is_gossip
     fleet.add(name, ("control",), group=tuple(seeds))
 
 
 def is_gossip(msg) -> bool:
-    """Whether a message is none of the control group's own."""
+    """Whether a message is not one of the control group."""
     return not isinstance(msg.payload, (*MEMBER_PAYLOADS, OpReply))
 
 
 def is_voter(fleet: FakeFleet, name: str) -> bool:
-    """Whether the leader counts an instance's present identity as a voter."""
+    """Whether the leader lists an instance's current identity as a voter."""
     leader = fleet.leader()
     if not leader or name not in fleet.disks:
         return False
--- a/tests/test_control/test_elections.py
+++ b/tests/test_control/test_elections.py
@@ -1,4 +1,4 @@
-"""Elections are quiet; a log that differs is brought in line."""
+"""Leader stability, and repair of diverged logs."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class TestElections:
-    """Elections are quiet, and a healed member does not disturb."""
+    """Leaders do not change without need."""
 
     def test_no_leader_change_in_an_hour(self):
         fleet = start_group(pace=8)
@@ -18,11 +18,10 @@
         assert fleet.nodes[leader].control.state.term == term
 
     def test_healed_member_does_not_unseat_the_leader(self, fleet):
-        """A leader change at every healed cut.
+        """Applies failed for a second whenever a network partition healed.
 
-        Symptom: applies fail for a second whenever a cut heals.
-        Sequence: a follower is cut off, calls elections in vain, is healed.
-        Cause: it comes back with a higher term.
+        The partitioned follower had raised its term in elections that it could
+        not win, and deposed the leader when it returned.
         """
         leader = fleet.leader()
         term = fleet.nodes[leader].control.state.term
@@ -39,13 +38,12 @@
     """A member whose log ends in entries that were never committed."""
 
     def test_many_uncommitted_entries_are_replaced(self, fleet, operator):
-        """Two instances sent each other the same entries for ever.
+        """The same entries were sent for ever, 0.66 GB in a minute.
 
-        Symptom: 0.66 GB between data centres in a minute, and one instance
-        behind for good. Sequence: a leader is cut off and appends several
-        changes; the others elect another and commit as many; the cut heals.
-        Cause: each refusal took one entry back, and the send after it put
-        that entry forward again, so the entry before it was never reached.
+        A partitioned leader appends several entries while the others elect a
+        new leader and commit as many. After the heal, each rejection moved the
+        next index back by one and the next send moved it forward again, so the
+        last matching entry was never reached.
         """
         old = fleet.leader()
         fleet.cut_off(old)
--- a/tests/test_control/test_founding.py
+++ b/tests/test_control/test_founding.py
@@ -1,4 +1,4 @@
-"""The first list of a group, and the loss of a disk while it is written."""
+"""Founding of a control group, also with a disk lost meanwhile."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def first_start(names=GROUP) -> FakeFleet:
-    """Returns a fleet whose instances start for the first time now.
+    """Returns a fleet whose instances have just started for the first time.
 
-    Only this start is told that it may found a group: a later one with an
-    empty disk may have belonged to one.
+    Only the first start of an instance may found a group: after a later start
+    with an empty disk, it may have belonged to one.
     """
     fleet = FakeFleet()
     fleet.founds_once = True
@@ -22,28 +22,21 @@
 
 
 def wipe(fleet: FakeFleet, name: str) -> None:
-    """Kills an instance with its disk and starts it again."""
+    """Kills an instance and restarts it with an empty disk."""
     fleet.kill(name)
     fleet.lose_disk(name)
     fleet.start(name)
 
 
 class TestFounderLosesItsDisk:
-    """The founder's disk was lost 0.1 s after it had founded the group.
-
-    No read of the document was ever answered again, although one disk of three
-    was lost. The founder was the only voter of its group until the others had
-    joined, and acknowledged a document alone. Back with an empty disk it was
-    not told to found, as that is said at the first start only, and the others
-    left the founding to it for ever. Seconds of the minute, from the logs:
-
-        41.84 event=role role=leader term=2 leader=127.18.1.1
-        41.85 event=operation kind=put code=500
-        41.95 killed, disk lost; no other instance is a member yet
-        43.48 event=disk_open entries=0, event=role role=idle
+    """Losing the founder's disk 0.1 s after founding made reads fail for ever.
+
+    The founder was the only voter until the others had joined, and acknowledged
+    a document alone. After its restart with an empty disk it was no longer
+    allowed to found a group, and the others waited for it to do so.
     """
 
-    def test_what_it_acknowledged_is_kept(self):
+    def test_acknowledged_document_is_kept(self):
         fleet = first_start()
         operator = Operator(fleet)
         token = operator.apply("c1", "early", 0, 1)
@@ -55,7 +48,7 @@
         reply = operator.wait(operator.read("c2")).reply
         assert (reply.code, reply.version) == (Code.CURRENT, 1)
 
-    def test_nobody_else_has_the_list(self):
+    def test_disk_lost_before_the_list_is_replicated(self):
         fleet = first_start()
         while not fleet.nodes["c1"].control.state.group:
             fleet.run(0.0005)
@@ -64,8 +57,8 @@
         wipe(fleet, "c1")
         fleet.run_until(lambda: is_whole(fleet), most=12.0)
 
-    def test_then_all_are_killed_too(self):
-        """Who may found must be known after a restart."""
+    def test_disk_lost_and_then_all_killed(self):
+        """The permission to found a group must survive a restart."""
         fleet = first_start()
         while not fleet.nodes["c1"].control.state.group:
             fleet.run(0.0005)
@@ -76,8 +69,8 @@
             fleet.start(name)
         fleet.run_until(lambda: is_whole(fleet), most=12.0)
 
-    def test_at_any_moment(self):
-        """A loss in each of the first 400 half milliseconds is borne."""
+    def test_disk_lost_at_any_moment(self):
+        """Every fourth of the first 400 steps of 0.5 ms is tried."""
         for moment in range(0, 400, 4):
             fleet = first_start()
             operator = Operator(fleet)
@@ -92,7 +85,7 @@
             assert reply.version >= accepted, moment
 
     def test_two_of_three_lost_their_disks(self):
-        """Nobody founds: they may have belonged to a group and forgot it."""
+        """No group is founded, as the two may have belonged to one."""
         fleet = first_start()
         fleet.loses = lambda msg: (
             msg.to == "c3" and isinstance(msg.payload, AppendRequest)
@@ -110,9 +103,9 @@
 
 
 class TestVoterWithoutTheList:
-    """It may vote for the founder, and still belongs to no group."""
+    """A voter that has no member list yet belongs to no group."""
 
-    def test_its_vote_is_kept_over_a_restart(self):
+    def test_vote_survives_a_restart(self):
         fleet = first_start()
         fleet.loses = lambda msg: isinstance(msg.payload, AppendRequest)
         fleet.run(2.0)
--- a/tests/test_control/test_joining.py
+++ b/tests/test_control/test_joining.py
@@ -1,9 +1,9 @@
-"""A process that can reach any one member becomes a member."""
+"""A process that can reach any member becomes a member."""
 
 from __future__ import annotations
 
 from greengagemoor.codes import Code
-from greengagemoor.control.joining import TARGETS_PER_ROUND, MAX_BACKOFF_FACTOR
+from greengagemoor.control.joining import MAX_BACKOFF_FACTOR, TARGETS_PER_ROUND
 from greengagemoor.control.joinmessages import JoinReply, JoinRequest
 from greengagemoor.control.messages import Received
 from tests.test_control.helpers import (
@@ -18,26 +18,16 @@
 
 
 class TestReplacedOneByOne:
-    """Two of five machines are replaced; then one disk and all power is lost.
-
-    No read of the document was answered any more, although only one disk was
-    lost at a time. The two machines that came as replacements had seeds that
-    did not lead when they started. They asked these to be taken in, only a
-    leader took anybody in, and the others said nothing of who leads. So both
-    stood outside until the end while two dead votes of five stayed in the
-    list, and with the lost disk two of five were left. In the log of one:
-
-        5.261 event=disk_open member=10.1.0.28#86dec2797a9a4dfc entries=0
-        5.261 event=role role=idle term=0 leader=""
-        7.271 event=reload seeds=10.2.0.23:7680,10.3.0.28:7680,10.1.0.27:7680
-        7.271 event=link_up peer=10.1.0.27
-        94.338 event=disk_open member=10.1.0.28#86dec2797a9a4dfc entries=0
-
-    10.1.0.27 led all that time: its link stood for 87 s and was never asked.
+    """Two of five machines are replaced; then a disk and all power are lost.
+
+    Reads failed for ever, although only one disk was lost at a time. The seeds
+    of the replacements were followers. These ignored join requests and did not
+    name the leader, so the replacements never joined and two lost voters stayed
+    in the list. After the next lost disk only two of five voters were left.
     """
 
     def replace(self, fleet, lost, new):
-        """Loses a machine for good; another one comes, with stale seeds."""
+        """Replaces a machine by one whose seeds are followers."""
         fleet.kill(lost)
         fleet.lose_disk(lost)
         fleet.run_until(lambda: fleet.leader() not in ("", lost))
@@ -45,7 +35,7 @@
         add_newcomer(fleet, new, followers[:2])
         fleet.run(6.0)
 
-    def test_what_was_acknowledged_can_be_read(self):
+    def test_acknowledged_document_can_be_read(self):
         fleet = start_group(FIVE)
         operator = Operator(fleet)
         self.replace(fleet, fleet.leader(), "c6")
@@ -64,7 +54,7 @@
 
 
 class TestNewcomer:
-    """However little it knows at its start."""
+    """A new instance joins with little knowledge of the group."""
 
     def test_seeds_that_do_not_lead(self):
         fleet = start_group(FIVE)
@@ -72,8 +62,8 @@
         add_newcomer(fleet, "c6", seeds)
         fleet.run_until(lambda: is_voter(fleet, "c6"), most=3.0)
 
-    def test_one_seed_and_a_cut_to_all_others(self):
-        """It reaches one follower; its leader reaches it."""
+    def test_only_one_seed_is_reachable(self):
+        """It can reach one follower; the leader can reach it."""
         fleet = start_group(FIVE)
         seed = next(n for n in FIVE if n != fleet.leader())
         add_newcomer(fleet, "c6", [seed])
@@ -86,8 +76,8 @@
     def members(self, fleet):
         return fleet.nodes[fleet.leader()].control.state.members.values()
 
-    def test_a_seed_that_does_not_reach_its_leader(self):
-        """It can't pass a request on; it can say who leads."""
+    def test_seed_is_cut_off_from_its_leader(self):
+        """The seed cannot forward the request but names the leader."""
         fleet = start_group(FIVE)
         leader = fleet.leader()
         seed = next(n for n in FIVE if n != leader)
@@ -95,8 +85,8 @@
         fleet.cut.add((seed, leader))
         fleet.run_until(lambda: is_voter(fleet, "c6"), most=1.0)
 
-    def test_one_that_is_gone_before_it_votes(self):
-        """Nobody sends to it for ever."""
+    def test_newcomer_is_lost_before_it_votes(self):
+        """A silent learner is removed, so that sends to it end."""
         fleet = start_group(FIVE)
         add_newcomer(fleet, "c6", FIVE)
         state = fleet.nodes[fleet.leader()].control.state
@@ -108,7 +98,7 @@
         assert len(state.members) == 5
 
     def test_the_leader_changes_while_it_asks(self):
-        """Also when the leader goes as soon as it has taken it in."""
+        """The leader may stop right after it has added the newcomer."""
         fleet = start_group(FIVE)
         leader = fleet.leader()
         seeds = [n for n in FIVE if n != leader][:2]
@@ -117,8 +107,8 @@
         fleet.kill(leader)
         fleet.run_until(lambda: is_voter(fleet, "c6"), most=8.0)
 
-    def test_two_of_five_are_gone(self):
-        """No further loss is borne until newcomers vote."""
+    def test_two_of_five_voters_are_lost(self):
+        """No further loss is tolerated until the newcomers are voters."""
         fleet = start_group(FIVE)
         for lost in [n for n in FIVE if n != fleet.leader()][:2]:
             fleet.kill(lost)
@@ -131,15 +121,15 @@
         )
         assert fleet.nodes[fleet.leader()].control.status().spare >= 1
 
-    def test_every_second_answer_is_lost(self):
+    def test_half_of_all_messages_are_lost(self):
         fleet = start_group(FIVE)
         fleet.drop_share = 0.5
         seeds = [n for n in FIVE if n != fleet.leader()][:2]
         add_newcomer(fleet, "c6", seeds)
         fleet.run_until(lambda: is_voter(fleet, "c6"), most=20.0)
 
-    def test_how_soon(self):
-        """In the list within three heartbeats of its first request."""
+    def test_votes_within_three_heartbeats(self):
+        """It is a voter within three heartbeats of its start."""
         for seed in range(1, 11):
             fleet = start_group(FIVE, seed)
             seeds = [n for n in FIVE if n != fleet.leader()][:2]
@@ -149,7 +139,7 @@
             assert took <= 3 * heartbeat
 
     def test_seeds_change_before_it_starts(self):
-        """All that its settings named at first are gone."""
+        """All instances in its first settings are gone."""
         fleet = start_group(FIVE)
         add_newcomer(fleet, "c6", ["gone-1", "gone-2"])
         fleet.kill("c6")
@@ -165,8 +155,8 @@
         fleet.reseed("c6", [n for n in FIVE if n != fleet.leader()][:1])
         fleet.run_until(lambda: is_voter(fleet, "c6"), most=1.0)
 
-    def test_seeds_change_for_one_that_was_taken_out(self):
-        """Cut off for a minute; all that it knew are replaced meanwhile."""
+    def test_seeds_change_for_a_removed_member(self):
+        """While it is partitioned, all members that it knew are replaced."""
         fleet = start_group(FIVE)
         lone = next(n for n in FIVE if n != fleet.leader())
         fleet.cut_off(lone)
@@ -184,7 +174,7 @@
         fleet.reseed(lone, ["c6"])
         fleet.run_until(lambda: is_voter(fleet, lone), most=5.0)
 
-    def test_seeds_that_wait_themselves(self):
+    def test_seeds_that_are_joining_too(self):
         """Two newcomers name each other, and one of them a member."""
         fleet = start_group(FIVE)
         seed = next(n for n in FIVE if n != fleet.leader())
@@ -196,18 +186,14 @@
 
 
 class TestSettingsNameOnlyItself:
-    """It lost its disk, and the only seed of its settings is itself.
-
-    It asked nobody, for ever, although the leader went on sending to it: the
-    appends were for the identity that it had before, and were dropped without
-    a look at who sent them. From its log:
+    """An instance lost its disk, and its settings name only itself.
 
-        39.349 event=disk_open member=127.13.1.3#7ebae21093cdf7e5 entries=0
-        40.358 event=join_waiting asked="" reason=no_answer age_s=1
-        71.685 event=join_waiting asked="" reason=no_answer age_s=32.3
+    It never sent a join request, although the leader kept sending appends to
+    it: they were addressed to its previous identity and were discarded without
+    recording the sender.
     """
 
-    def test_it_asks_whoever_sends_to_its_old_identity(self):
+    def test_asks_senders_to_its_previous_identity(self):
         fleet = start_group(FIVE)
         fleet.founds_once = True
         fleet.loses = is_gossip
@@ -221,13 +207,13 @@
         fleet.run_until(lambda: is_voter(fleet, lost), most=1.5)
 
 
-class TestStorm:
-    """Many outside cost the members little, and nothing goes in circles."""
+class TestManyJoiners:
+    """Many joiners cost the members little, and no request loops."""
 
     NUMBER = 300
 
-    def test_nobody_leads(self):
-        """300 ask five members that have no leader, and are told so."""
+    def test_requests_are_bounded_without_a_leader(self):
+        """300 joiners ask a group of five that has no leader."""
         fleet = start_group(FIVE)
         for name in FIVE[:3]:
             fleet.kill(name)
@@ -243,8 +229,8 @@
         assert fleet.sent[JoinRequest] <= most
         assert fleet.sent[JoinReply] <= most
 
-    def test_all_are_taken_in_by_few_changes(self):
-        """They have no vote yet, so one change takes in all that wait."""
+    def test_joiners_are_added_by_few_changes(self):
+        """Learners have no vote, so one change adds all that wait."""
         fleet = start_group(FIVE)
         leader = fleet.leader()
         seeds = [n for n in FIVE if n != leader][:3]
@@ -256,8 +242,8 @@
         promoted = len(state.voters) - len(FIVE)
         assert state.log.last_index - before - promoted <= 10
 
-    def test_a_passed_on_request_stops_at_the_next(self):
-        """Two that take each other for the leader send nothing in circles."""
+    def test_request_is_forwarded_once(self):
+        """Two members that take each other for the leader do not loop."""
         fleet = start_group(FIVE)
         one, other = [n for n in FIVE if n != fleet.leader()][:2]
         for name, wrong in ((one, other), (other, one)):
--- a/tests/test_control/test_replacements.py
+++ b/tests/test_control/test_replacements.py
@@ -1,8 +1,8 @@
-"""Hypothesis: machines of a control group are replaced in any order.
+"""Hypothesis test: machines of a control group are replaced in any order.
 
-As long as more than half of the voters of the list in force have their disks,
-what was acknowledged can be read again soon after the last disruption, and all
-machines that live vote again.
+While a majority of the voters in the current list keep their disks, documents
+that were acknowledged can be read within ``SERVES_AGAIN_S`` of the last fault,
+and all running machines are voters within ``WHOLE_AGAIN_S`` after that.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 SERVES_AGAIN_S = 12.0
 WHOLE_AGAIN_S = 60.0
-"""Six times the silence after which a voter may be taken out."""
+"""Six times the silence after which a voter may be removed."""
 PICKS = st.integers(0, 1000)
 
 
--- a/tests/test_control/test_sight.py
+++ b/tests/test_control/test_sight.py
@@ -1,4 +1,4 @@
-"""Operators can see who votes, and who is outside and why."""
+"""Notices and gauges for operators: members and waiting joiners."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def notices(fleet, name, kind, since=0.0):
-    """Returns a node's notices of a kind since a time."""
+    """Returns an instance's notices of a kind since a time."""
     return [
         msg
         for at, who, msg in fleet.out
@@ -17,7 +17,7 @@
 
 
 class TestMembersChanged:
-    """Each change of the list is told once, by whoever goes by it."""
+    """Each member reports each change of its member list once."""
 
     def test_a_replaced_identity(self, fleet):
         leader = fleet.leader()
@@ -29,17 +29,17 @@
         fleet.start(lost)
         fleet.run(5.0)
         new = f"{lost}#{fleet.disks[lost].identity}"
-        told = notices(fleet, leader, MembersChanged, since)
-        joined = [(m.joined, m.promoted, m.left) for m in told]
+        reported = notices(fleet, leader, MembersChanged, since)
+        joined = [(m.joined, m.promoted, m.left) for m in reported]
         assert joined[0] == ((new,), (), ())
         assert ((), (new,), ()) in joined
         assert ((), (), (old,)) in joined
-        assert told[-1].voters == 3
-        assert told[-1].majority == 2
-        assert told[-1].learners == 0
-        assert all(m.reason and m.term for m in told)
+        assert reported[-1].voters == 3
+        assert reported[-1].majority == 2
+        assert reported[-1].learners == 0
+        assert all(m.reason and m.term for m in reported)
 
-    def test_nothing_is_told_of_a_calm_group(self, fleet):
+    def test_no_notice_from_a_stable_group(self, fleet):
         since = fleet.now
         fleet.run(60.0)
         assert not any(
@@ -48,20 +48,20 @@
 
 
 class TestJoinWaiting:
-    """A process outside says whom it asked and why it is still outside."""
+    """A joiner reports whom it asked and why it still waits."""
 
-    def test_nobody_answers(self):
-        """Bounded: 60 s are told in seven lines."""
+    def test_notices_without_any_answer(self):
+        """60 s of waiting give about seven notices."""
         fleet = FakeFleet()
         fleet.add("c9", ("control",), group=("c9", "c1", "c2"))
         fleet.run(60.0)
-        told = notices(fleet, "c9", JoinWaiting)
-        assert 5 <= len(told) <= 8
-        assert told[0].age_s <= 2.0
-        assert {m.reason for m in told} == {"no_answer"}
-        assert set(told[0].asked) <= {"c1", "c2"}
+        reported = notices(fleet, "c9", JoinWaiting)
+        assert 5 <= len(reported) <= 8
+        assert reported[0].age_s <= 2.0
+        assert {m.reason for m in reported} == {"no_answer"}
+        assert set(reported[0].asked) <= {"c1", "c2"}
 
-    def test_no_line_of_one_that_is_taken_in(self):
+    def test_no_notice_for_a_prompt_join(self):
         fleet = start_group()
         since = fleet.now
         fleet.add("c4", ("control",), group=(*GROUP, "c4"))
@@ -70,9 +70,9 @@
 
 
 class TestGauges:
-    """Voters, learners, silent voters and losses still borne."""
+    """Voters, learners, silent voters and further losses tolerated."""
 
-    def test_leader_tells_what_it_bears(self, fleet):
+    def test_leader_reports_losses_borne(self, fleet):
         leader = fleet.leader()
         status = fleet.nodes[leader].control.status
         assert status().gauges() == {
@@ -86,7 +86,7 @@
         assert status().gauges()["voters_silent"] == 1
         assert status().gauges()["losses_borne"] == 0
 
-    def test_a_follower_tells_what_it_knows(self, fleet):
+    def test_follower_reports_member_counts(self, fleet):
         follower = others(fleet.leader())[0]
         gauges = fleet.nodes[follower].control.status().gauges()
         assert gauges == {"voters": 3, "learners": 0}
