--- a/greengagemoor/control/messages.py
+++ b/greengagemoor/control/messages.py
@@ -73,7 +73,7 @@
 
 @values.frozen
 class AppendReply:
-    """Acknowledges an append or a snapshot once it is synced.
+    """Replies to an append or a snapshot once it is synced.
 
     Attributes:
         match_index: if ``ok``, the highest index known to match the leader's
