--- a/greengagemoor/control/client.py
+++ b/greengagemoor/control/client.py
@@ -1,4 +1,4 @@
-"""Asks the control group's leader, whoever that is, within a deadline."""
+"""Client that sends operations to the control group's current leader."""
 
 from __future__ import annotations
 
@@ -23,17 +23,19 @@
 
     from greengagemoor.control.commands import Command
 
-RESEND_S = 0.4
-PAUSE_S = 0.05
+RESEND_AFTER_S = 0.4
+"""How long to wait for a reply before sending again."""
+RETRY_DELAY_S = 0.05
+"""Delay before the next send when no leader is known."""
 
 
 @values.frozen
 class Ask:
-    """Asks for one operation.
+    """Requests one operation.
 
     Attributes:
-        token: chosen by the asker; echoed in ``Done``.
-        deadline: absolute; ``Done`` comes then at the latest.
+        token: chosen by the requester; echoed in ``Done``.
+        deadline: absolute; ``Done`` is returned by then at the latest.
     """
 
     token: object
@@ -49,8 +51,8 @@
     """The result of an ``Ask``.
 
     Attributes:
-        maybe: without a definite reply, whether a leader may have taken the
-            operation in.
+        maybe: whether a leader may have accepted the operation although no
+            definite reply came.
     """
 
     token: object
@@ -60,19 +62,19 @@
 
 
 @attrs.define(eq=False, repr=False)
-class _Pending:
+class _PendingOperation:
     ask: Ask
     op_id: int
     target: str = ""
     resend_at: float = 0.0
-    unanswered: int = 0
-    maybe: bool = False
+    unanswered_sends: int = 0
+    possibly_accepted: bool = False
 
 
 class ControlClient:
-    """Finds the leader, resends after a lost reply, gives up in time.
+    """Finds the leader and resends operations until a reply or the deadline.
 
-    A resend is safe: the command's own id makes it idempotent.
+    A resend is safe: the id in the command makes it idempotent.
     """
 
     def __init__(
@@ -83,25 +85,25 @@
         Args:
             targets: instances with the control role.
             rng: seeded source; picks a target while no leader is known.
-            first_id: number of the first operation.
+            first_id: id of the first operation.
         """
         self.targets = list(targets)
         self._rng = rng
         self._leader = ""
-        self._pending: dict[int, _Pending] = {}
+        self._pending: dict[int, _PendingOperation] = {}
         self._ids = count(first_id)
 
     def step(self, now: float, msgs: Iterable[object]) -> list:
-        """Runs one tick over ``Ask`` and ``Received`` replies."""
+        """Processes one tick's ``Ask`` messages and ``Received`` replies."""
         out: list = []
         for msg in msgs:
             if isinstance(msg, Ask):
-                pending = _Pending(msg, next(self._ids), resend_at=now)
+                pending = _PendingOperation(msg, next(self._ids), resend_at=now)
                 self._pending[pending.op_id] = pending
             elif isinstance(msg, Received):
-                self._take_reply(now, msg, out)
+                self._handle_reply(now, msg, out)
         for pending in list(self._pending.values()):
-            self._drive(now, pending, out)
+            self._send_or_expire(now, pending, out)
         return out
 
     @property
@@ -110,13 +112,13 @@
         return not self._pending
 
     def next_wake(self) -> float | None:
-        """Returns when a resend or a deadline is due."""
+        """Returns when the next resend or deadline is due, None if idle."""
         return min(
             (min(p.resend_at, p.ask.deadline) for p in self._pending.values()),
             default=None,
         )
 
-    def _take_reply(self, now: float, msg: Received, out: list) -> None:
+    def _handle_reply(self, now: float, msg: Received, out: list) -> None:
         reply: OpReply = msg.payload
         pending = self._pending.get(reply.op_id)
         if pending is None:
@@ -124,57 +126,65 @@
         if reply.code == Code.NOT_LEADER:
             self._redirect(now, pending, msg.sender, reply.leader)
         elif reply.code == Code.APPLY_UNKNOWN:
-            pending.maybe = True
-            pending.resend_at = now + PAUSE_S
+            pending.possibly_accepted = True
+            pending.resend_at = now + RETRY_DELAY_S
             self._leader = ""
         elif (
             reply.code == Code.CONFLICT and pending.ask.kind is OpKind.EVACUATE
         ):
-            self._give_anew(now, pending, reply.version)
+            self._resubmit(now, pending, reply.version)
         else:
             self._leader = msg.sender
             del self._pending[reply.op_id]
             out.append(Done(pending.ask.token, pending.ask.kind, reply))
 
-    def _give_anew(self, now: float, pending: _Pending, number: int) -> None:
-        """Gives an order again on what holds by now.
+    def _resubmit(
+        self, now: float, pending: _PendingOperation, number: int
+    ) -> None:
+        """Sends an evacuation command again, based on the current number.
 
-        Its operator still waits for it; that another order came in between,
-        or that this instance knew an older state, doesn't void it.
+        The operator still waits for it. Another command that was committed
+        first, or an outdated number at this instance, does not cancel it.
         """
         command = attrs.evolve(pending.ask.command, replaces=number)
         pending.ask = attrs.evolve(pending.ask, command=command)
-        pending.unanswered = 0
+        pending.unanswered_sends = 0
         pending.resend_at = now
 
     def _redirect(
-        self, now: float, pending: _Pending, sender: str, hint: str
+        self,
+        now: float,
+        pending: _PendingOperation,
+        sender: str,
+        suggested_leader: str,
     ) -> None:
         if sender == pending.target:
-            pending.unanswered = max(0, pending.unanswered - 1)
-        known = hint in self.targets and hint != sender
-        self._leader = hint if known else ""
-        pending.resend_at = now if known else now + PAUSE_S
+            pending.unanswered_sends = max(0, pending.unanswered_sends - 1)
+        known = suggested_leader in self.targets and suggested_leader != sender
+        self._leader = suggested_leader if known else ""
+        pending.resend_at = now if known else now + RETRY_DELAY_S
 
-    def _drive(self, now: float, pending: _Pending, out: list) -> None:
+    def _send_or_expire(
+        self, now: float, pending: _PendingOperation, out: list
+    ) -> None:
         if now >= pending.ask.deadline:
             del self._pending[pending.op_id]
-            out.append(self._give_up(pending))
+            out.append(self._expire(pending))
         elif now >= pending.resend_at and self.targets:
             self._send(now, pending, out)
 
-    def _send(self, now: float, pending: _Pending, out: list) -> None:
-        if pending.unanswered:
-            # The last target said nothing: it may have taken it in.
-            pending.maybe = True
+    def _send(self, now: float, pending: _PendingOperation, out: list) -> None:
+        if pending.unanswered_sends:
+            # The last target did not reply; it may have accepted the operation.
+            pending.possibly_accepted = True
             if pending.target == self._leader:
                 self._leader = ""
         others = [t for t in self.targets if t != pending.target]
         pending.target = self._leader or self._rng.choice(
             others or self.targets
         )
-        pending.unanswered += 1
-        pending.resend_at = now + RESEND_S
+        pending.unanswered_sends += 1
+        pending.resend_at = now + RESEND_AFTER_S
         ask = pending.ask
         request = OpRequest(
             op_id=pending.op_id,
@@ -185,8 +195,12 @@
         )
         out.append(Send(pending.target, request))
 
-    def _give_up(self, pending: _Pending) -> Done:
-        maybe = pending.maybe or pending.unanswered > 0
-        code = Code.APPLY_UNKNOWN if maybe else Code.NOT_ACCEPTED
+    def _expire(self, pending: _PendingOperation) -> Done:
+        possibly_accepted = (
+            pending.possibly_accepted or pending.unanswered_sends > 0
+        )
+        code = Code.APPLY_UNKNOWN if possibly_accepted else Code.NOT_ACCEPTED
         reply = OpReply(pending.op_id, code)
-        return Done(pending.ask.token, pending.ask.kind, reply, maybe=maybe)
+        return Done(
+            pending.ask.token, pending.ask.kind, reply, maybe=possibly_accepted
+        )
--- a/greengagemoor/control/commands.py
+++ b/greengagemoor/control/commands.py
@@ -1,6 +1,6 @@
 """Members, log entries and the commands of the replicated log.
 
-Times are unix seconds.
+Times are Unix seconds.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
     """A member of the control group.
 
     Attributes:
-        member_id: ``instance#identity``; the identity is made with the data
-            folder, so a member that lost its disk comes back as another one.
+        member_id: ``instance#identity``; the identity is created with the data
+            folder, so an instance that lost its disk returns as a new member.
         voter: whether it votes and counts for a quorum.
     """
 
@@ -26,14 +26,14 @@
 
 @values.frozen
 class NoOp:
-    """Opens a leader's term and moves the group's time forward."""
+    """First entry of a leader's term; advances the group's time."""
 
     time: float
 
 
 @values.frozen
 class ApplyDocument:
-    """Replaces document version ``replaces`` by ``text``."""
+    """Replaces document version ``replaces`` with ``text``."""
 
     apply_id: str
     replaces: int
@@ -46,10 +46,11 @@
     """Claims the right to send a request once.
 
     Attributes:
-        claim_id: names one try of one entry process; the same try may be
-            proposed twice when a reply is lost.
-        issued_at: when the caller made the request id.
-        valid_for_s: after this time the claimant no longer sends.
+        claim_id: identifies one claim by one entry process; the same claim may
+            be proposed twice when a reply is lost.
+        issued_at: when the caller created the request id.
+        valid_for_s: after this time the claimant no longer sends the
+            request.
     """
 
     caller: str
@@ -74,7 +75,7 @@
 
 @values.frozen
 class ChangeMembers:
-    """Replaces the member list; it differs by one voter at most."""
+    """Replaces the member list; the voters differ by one at most."""
 
     members: tuple[Member, ...]
     time: float
@@ -85,8 +86,9 @@
     """Stores a document under a number that the operator chose.
 
     Attributes:
-        number: the highest number that was ever put is in force.
-        packed: the document's text, compressed: a log keeps hundreds of them.
+        number: the document with the highest number is in force.
+        packed: compressed document text; compressed because a log keeps
+            hundreds of them.
     """
 
     number: int
@@ -96,12 +98,12 @@
 
 @values.frozen
 class SetEvacuation:
-    """Evacuates a data centre, or takes that back.
+    """Starts or ends the evacuation of a data centre.
 
     Attributes:
-        active: whether its searchers are to get nothing from now on.
-        replaces: number of the latest change that was known where the order
-            came in.
+        active: whether its searchers receive no requests from now on.
+        replaces: number of the latest change known to the instance that
+            received the operator's command.
     """
 
     data_centre: str
--- a/greengagemoor/control/documents.py
+++ b/greengagemoor/control/documents.py
@@ -1,4 +1,4 @@
-"""Replicated state machine of the operators' document."""
+"""Replicated state machine for the operators' document."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
     from greengagemoor.control.commands import ApplyDocument
 
 MAX_RESULTS = 10_000
+"""How many apply results, and how many winners, are kept for resends."""
 SHARE_LEASE_S = 7200.0
-"""How long a process may go on under a document it can't confirm."""
+"""How long a process may use its share without confirming the document."""
 
 
 @values.frozen
 class ApplyResult:
-    """What became of an apply; kept for resends."""
+    """Result of an apply; kept to answer resends."""
 
     code: Code
     version: int
@@ -30,8 +31,8 @@
 
 
 @values.frozen
-class InForce:
-    """What a document version meant for connection shares.
+class ShareParameters:
+    """Parameters of the connection shares in one document version.
 
     Attributes:
         until: when the next version replaced it; None for the current one.
@@ -43,57 +44,58 @@
 
 
 @values.frozen
-class _Saved:
+class _SavedDocuments:
     version: int
     text: str
     winners: tuple[tuple[int, str], ...]
     results: tuple[tuple[str, ApplyResult], ...]
-    history: tuple[InForce, ...]
+    history: tuple[ShareParameters, ...]
 
 
 class Documents:
-    """The current document, who won each version, and results by apply id."""
+    """The current document, winning apply ids, and results by apply id."""
 
     def __init__(self):
         self.version = 0
         self.text = ""
         self._results: OrderedDict[str, ApplyResult] = OrderedDict()
         self._winners: OrderedDict[int, str] = OrderedDict()
-        self._history: deque[InForce] = deque()
+        self._history: deque[ShareParameters] = deque()
 
     def apply(self, command: ApplyDocument) -> ApplyResult:
-        """Applies a committed command; the same on every member.
+        """Applies a committed command; deterministic, so equal on every member.
 
-        A resend of an apply id gets the first result, whatever came since.
+        A resend of an apply id gets the first result, even if other documents
+        were accepted since.
         """
         known = self._results.get(command.apply_id)
         if known is not None:
             return known
-        result = self._decide(command)
+        result = self._evaluate(command)
         self._results[command.apply_id] = result
-        _shorten(self._results)
+        _evict_oldest(self._results)
         return result
 
     def known_result(self, apply_id: str) -> ApplyResult | None:
         """Returns the first result of an apply id, if it is still kept."""
         return self._results.get(apply_id)
 
-    def _decide(self, command: ApplyDocument) -> ApplyResult:
+    def _evaluate(self, command: ApplyDocument) -> ApplyResult:
         if command.replaces != self.version:
             winner = self._winners.get(command.replaces + 1, "")
             return ApplyResult(Code.CONFLICT, self.version, winner)
         decoded = json.loads(command.text)
-        new = InForce(
+        new = ShareParameters(
             entries=tuple(decoded.get("entries", ())),
             places=decoded.get("connection_places", 10),
         )
-        fault = self._share_fault(new, command.time)
-        if fault:
-            return ApplyResult(Code.INVALID, self.version, detail=fault)
+        error = self._share_error(new, command.time)
+        if error:
+            return ApplyResult(Code.INVALID, self.version, detail=error)
         self._accept(command, new)
         return ApplyResult(Code.ACCEPTED, self.version, command.apply_id)
 
-    def _accept(self, command: ApplyDocument, new: InForce) -> None:
+    def _accept(self, command: ApplyDocument, new: ShareParameters) -> None:
         if self._history:
             last = self._history.pop()
             self._history.append(attrs.evolve(last, until=command.time))
@@ -101,18 +103,19 @@
         self.version += 1
         self.text = command.text
         self._winners[self.version] = command.apply_id
-        _shorten(self._winners)
+        _evict_oldest(self._winners)
 
-    def _share_fault(self, new: InForce, time: float) -> str:
-        """Returns why the change could break a connection cap, '' if not.
+    def _share_error(self, new: ShareParameters, time: float) -> str:
+        """Returns why the change could exceed a connection cap, '' if not.
 
-        An entry that is cut off goes on under an older document, with its
-        old share. If names and places could change freely, old and new shares
-        together would pass a cap: one would see searchers refuse connections
-        after a change of entries. So all names in force within the share
-        lease must fit the fewest places in force within it.
+        An entry instance that is cut off keeps its share under an older
+        document. If entries and connection_places could change freely, old
+        and new shares together could exceed a cap, and searchers would refuse
+        connections after a change of entries. So the number of entry names in
+        force within the share lease must not exceed the lowest
+        connection_places in force within it.
         """
-        self._forget_before(time - SHARE_LEASE_S)
+        self._discard_replaced_before(time - SHARE_LEASE_S)
         recent = [*self._history, new]
         names = set().union(*(item.entries for item in recent))
         places = min(item.places for item in recent)
@@ -120,11 +123,11 @@
             return ""
         return (
             f"entries: {len(names)} names were in force within the last "
-            f"{SHARE_LEASE_S:.0f} s, with {places} connection_places at the "
-            "least; raise connection_places first, or wait @ $.entries"
+            f"{SHARE_LEASE_S:.0f} s, but connection_places was as low as "
+            f"{places}; raise connection_places first, or wait @ $.entries"
         )
 
-    def _forget_before(self, time: float) -> None:
+    def _discard_replaced_before(self, time: float) -> None:
         while (
             self._history
             and self._history[0].until is not None
@@ -135,7 +138,7 @@
     def save(self) -> str:
         """Returns the whole state as text for a snapshot."""
         return shape.dump_json(
-            _Saved(
+            _SavedDocuments(
                 version=self.version,
                 text=self.text,
                 winners=tuple(self._winners.items()),
@@ -145,8 +148,8 @@
         )
 
     def load(self, text: str) -> None:
-        """Replaces the state by a saved one."""
-        saved = shape.parse_json(text, _Saved)
+        """Replaces the state with a saved one."""
+        saved = shape.parse_json(text, _SavedDocuments)
         self.version = saved.version
         self.text = saved.text
         self._winners = OrderedDict(saved.winners)
@@ -154,6 +157,6 @@
         self._history = deque(saved.history)
 
 
-def _shorten(table: OrderedDict) -> None:
+def _evict_oldest(table: OrderedDict) -> None:
     while len(table) > MAX_RESULTS:
         table.popitem(last=False)
--- a/greengagemoor/control/evacuations.py
+++ b/greengagemoor/control/evacuations.py
@@ -1,4 +1,4 @@
-"""Which data centres are evacuated, as processes tell each other."""
+"""Evacuations of data centres, as processes exchange them."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @values.frozen
 class Evacuation:
-    """Whether the searchers of a data centre are to get nothing.
+    """Whether the searchers of a data centre receive no requests.
 
     Attributes:
-        number: grows with each change for this data centre.
-        active: whether it holds, or has been taken back.
+        number: increases with each change for this data centre.
+        active: whether the evacuation is in force; False once it has ended.
     """
 
     data_centre: str
@@ -25,24 +25,24 @@
 
 
 class EvacuationView:
-    """The newest words on data centres, as a process that is told has them."""
+    """The newest evacuation row that a process knows for each data centre."""
 
     def __init__(self):
         self._rows: dict[str, Evacuation] = {}
 
     def take(self, rows: Iterable[Evacuation]) -> tuple[Evacuation, ...]:
-        """Takes in rows, in any order and however often.
+        """Merges rows, which may come in any order and repeatedly.
 
         Returns:
-            Those that are newer than what was known.
+            Rows that are newer than those known before.
         """
-        news = []
+        newer = []
         for row in rows:
             known = self._rows.get(row.data_centre)
             if known is None or row.number > known.number:
                 self._rows[row.data_centre] = row
-                news.append(row)
-        return tuple(news)
+                newer.append(row)
+        return tuple(newer)
 
     def rows(self) -> tuple[Evacuation, ...]:
         """Returns the newest row of each data centre."""
@@ -50,7 +50,7 @@
 
     @property
     def active(self) -> frozenset[str]:
-        """Data centres whose searchers get nothing."""
+        """Data centres whose searchers receive no requests."""
         return frozenset(
             row.data_centre for row in self._rows.values() if row.active
         )
--- a/greengagemoor/control/evacuationtable.py
+++ b/greengagemoor/control/evacuationtable.py
@@ -1,4 +1,4 @@
-"""Replicated state machine of the evacuations of data centres."""
+"""Replicated state machine for the evacuations of data centres."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class EvacuationTable:
-    """The latest word on each data centre for which an order ever came."""
+    """The latest change for each data centre that ever had one."""
 
     def __init__(self):
         self._rows: dict[str, Evacuation] = {}
 
     def rows(self) -> tuple[Evacuation, ...]:
-        """Returns all rows, those that were taken back included."""
+        """Returns all rows, including those of ended evacuations."""
         return tuple(self._rows.values())
 
     def number_of(self, data_centre: str) -> int:
@@ -33,9 +33,10 @@
     def set(self, command: SetEvacuation) -> ApplyResult:
         """Applies a committed command.
 
-        An order may be held up by a cut until its operator has given it again
-        elsewhere and taken it back; then what it replaces is no longer there.
-        So an order that changes nothing takes a number, too.
+        A network partition may delay a command until its operator has
+        repeated it at another instance and then ended the evacuation. The
+        delayed command must then conflict, so a command that changes nothing
+        also takes a number.
         """
         number = self.number_of(command.data_centre)
         row = self._rows.get(command.data_centre)
@@ -52,6 +53,6 @@
         return json.dumps([attrs.astuple(row) for row in self.rows()])
 
     def load(self, text: str) -> None:
-        """Replaces the state by a saved one."""
+        """Replaces the state with a saved one."""
         rows = (Evacuation(*parts) for parts in json.loads(text))
         self._rows = {row.data_centre: row for row in rows}
--- a/greengagemoor/control/ledger.py
+++ b/greengagemoor/control/ledger.py
@@ -1,4 +1,4 @@
-"""Replicated state machine of requests that run at most once."""
+"""Replicated state machine for requests that run at most once."""
 
 from __future__ import annotations
 
@@ -11,7 +11,9 @@
 from greengagemoor.util import shape, values
 
 DEFAULT_WINDOW_S = 3600.0
+"""How long ids are kept unless the document sets ``ledger_window_s``."""
 CLAIM_MARGIN_S = 1.0
+"""Time added to a claim's validity before its outcome counts as unknown."""
 
 
 @attrs.define
@@ -19,7 +21,7 @@
     """One claimed request.
 
     Attributes:
-        ends: the claimant no longer sends after this time of the group.
+        ends: group time after which the claimant no longer sends.
         code: None until the outcome is recorded.
     """
 
@@ -32,7 +34,7 @@
 
 @values.frozen
 class ClaimAnswer:
-    """What the ledger says of a claim."""
+    """Result of a claim."""
 
     verdict: ClaimVerdict
     outcome: str = ""
@@ -50,7 +52,7 @@
 
 
 @values.frozen
-class _Saved:
+class _SavedLedger:
     time: float
     window: float
     closed_before: float
@@ -58,10 +60,10 @@
 
 
 class Ledger:
-    """Claims and outcomes of the kept window, by caller and request id.
+    """Claims and outcomes within the window, by caller and request id.
 
     An id older than the window is never granted: its row may have been
-    trimmed, and a second grant would run it twice.
+    trimmed, and a second grant would run the request twice.
     """
 
     def __init__(self):
@@ -69,17 +71,17 @@
         self.window = DEFAULT_WINDOW_S
         self._closed_before = 0.0
         self._rows: dict[tuple[str, str], ClaimRow] = {}
-        self._by_age: list[tuple[float, tuple[str, str]]] = []
+        self._by_issue_time: list[tuple[float, tuple[str, str]]] = []
 
     def __len__(self) -> int:
         return len(self._rows)
 
     def advance(self, time: float) -> None:
-        """Moves the group's time forward and trims what left the window."""
+        """Advances the group's time and trims rows older than the window."""
         self.time = max(self.time, time)
         oldest = self.time - self.window
-        while self._by_age and self._by_age[0][0] < oldest:
-            _, key = heapq.heappop(self._by_age)
+        while self._by_issue_time and self._by_issue_time[0][0] < oldest:
+            _, key = heapq.heappop(self._by_issue_time)
             row = self._rows.get(key)
             if row is not None and row.issued_at < oldest:
                 del self._rows[key]
@@ -87,16 +89,16 @@
     def set_window(self, window: float) -> None:
         """Changes how long ids are kept; a longer window never reopens ids.
 
-        After the window grows, ids between the old and new edge may already
-        be trimmed. They are refused until the old edge has moved past them.
+        When the window grows, rows of ids between the new cutoff and the old
+        one may already be trimmed, so these ids stay expired.
         """
         if window > self.window:
-            edge = self.time - self.window
-            self._closed_before = max(self._closed_before, edge)
+            cutoff = self.time - self.window
+            self._closed_before = max(self._closed_before, cutoff)
         self.window = window
 
     def claim(self, command: Claim) -> ClaimAnswer:
-        """Applies a committed claim; exactly one claim id is ever granted."""
+        """Applies a committed claim; grants an id to one claim at a time."""
         key = (command.caller, command.request_id)
         oldest = max(self.time - self.window, self._closed_before)
         if command.issued_at < oldest:
@@ -120,15 +122,15 @@
             issued_at=command.issued_at,
             ends=self.time + command.valid_for_s + CLAIM_MARGIN_S,
         )
-        heapq.heappush(self._by_age, (command.issued_at, key))
+        heapq.heappush(self._by_issue_time, (command.issued_at, key))
         return ClaimAnswer(ClaimVerdict.GRANTED)
 
     def record(self, command: RecordOutcome) -> None:
-        """Applies a committed outcome; only the claimant's counts.
+        """Applies a committed outcome; ignores any but the claimant's.
 
-        "Not run" from the claimant takes the claim away, so that the caller
-        may come back with the same id: the claimant never sends after it.
-        An unknown outcome may still be replaced by the true one.
+        "Not run" from the claimant removes the claim, so that the caller may
+        retry with the same id: the claimant never sends after it. An unknown
+        outcome may still be replaced by the actual one.
         """
         key = (command.caller, command.request_id)
         row = self._rows.get(key)
@@ -149,12 +151,12 @@
             for (caller, request_id), row in self._rows.items()
         )
         return shape.dump_json(
-            _Saved(self.time, self.window, self._closed_before, rows)
+            _SavedLedger(self.time, self.window, self._closed_before, rows)
         )
 
     def load(self, text: str) -> None:
-        """Replaces the state by a saved one."""
-        saved = shape.parse_json(text, _Saved)
+        """Replaces the state with a saved one."""
+        saved = shape.parse_json(text, _SavedLedger)
         self.time = saved.time
         self.window = saved.window
         self._closed_before = saved.closed_before
@@ -164,5 +166,7 @@
             )
             for row in saved.rows
         }
-        self._by_age = [(r.issued_at, key) for key, r in self._rows.items()]
-        heapq.heapify(self._by_age)
+        self._by_issue_time = [
+            (r.issued_at, key) for key, r in self._rows.items()
+        ]
+        heapq.heapify(self._by_issue_time)
--- a/greengagemoor/control/machine.py
+++ b/greengagemoor/control/machine.py
@@ -1,4 +1,4 @@
-"""Applies committed log entries to the document and the ledger."""
+"""Applies committed log entries to the replicated state."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Machine:
-    """All replicated state; the same entries give the same state anywhere."""
+    """All replicated state; the same entries give the same state."""
 
     def __init__(self):
         self.documents = Documents()
@@ -59,7 +59,7 @@
     def _(self, command: ApplyDocument) -> ApplyResult:
         result = self.documents.apply(command)
         if result.code is Code.ACCEPTED:
-            self._set_window()
+            self._update_ledger_window()
         return result
 
     @_apply.register
@@ -79,7 +79,7 @@
     def _(self, command: SetEvacuation) -> ApplyResult:
         return self.evacuations.set(command)
 
-    def _set_window(self) -> None:
+    def _update_ledger_window(self) -> None:
         decoded = json.loads(self.documents.text)
         window = float(decoded.get("ledger_window_s", DEFAULT_WINDOW_S))
         self.ledger.set_window(window)
@@ -95,7 +95,7 @@
         return json.dumps(parts).encode()
 
     def load(self, data: bytes) -> None:
-        """Replaces the whole state by a snapshot's."""
+        """Replaces the whole state with that of a snapshot."""
         documents, ledger, *later = json.loads(data)
         self.documents.load(documents)
         self.ledger.load(ledger)
--- a/greengagemoor/control/notices.py
+++ b/greengagemoor/control/notices.py
@@ -1,4 +1,4 @@
-"""What a member of the control group tells its operators."""
+"""Notices of a control group member to its operators."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @values.frozen
 class MembersChanged:
-    """The member list that this member goes by has changed.
+    """The member list used by this member has changed.
 
     Attributes:
         joined: member ids that are new in the list.
-        promoted: member ids of learners that vote from now on.
+        promoted: member ids of learners that became voters.
         left: member ids that are no longer in the list.
         voters: number of voters after the change.
-        learners: number of members without a vote after it.
-        majority: voters that must agree from now on.
+        learners: number of members without a vote after the change.
+        majority: number of voters that must agree from now on.
         reason: why the leader changed it, or where the list came from.
     """
 
@@ -31,12 +31,12 @@
 
 @values.frozen
 class JoinWaiting:
-    """This process asks to be taken into a group, so far in vain.
+    """This process asks to join a group and has not been admitted yet.
 
     Attributes:
         asked: instances that were asked last.
-        reason: what their answers say.
-        age_s: seconds since it began to ask.
+        reason: why it has not been admitted, according to the replies.
+        age_s: seconds since the first request.
     """
 
     asked: tuple[str, ...]
--- a/greengagemoor/control/numbered.py
+++ b/greengagemoor/control/numbered.py
@@ -1,4 +1,4 @@
-"""Replicated state machine of the document that the operator numbers."""
+"""Replicated state machine for the document numbered by the operator."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 class Numbered:
     """The document with the highest number that was ever put.
 
-    A lower number is a change that a newer one has overtaken, an equal one is
-    a resend, or another operator's words under a number that is taken; both
-    are acknowledged and change nothing. If an equal number could replace the
-    text, two readers of one number would see different documents.
+    A lower number is an outdated change. An equal one is a resend, or another
+    operator's document under a number that is taken. Both are acknowledged
+    and change nothing: if an equal number could replace the text, two readers
+    of one number could see different documents.
     """
 
     def __init__(self):
@@ -35,6 +35,6 @@
         return json.dumps([self.number, base64.b64encode(self.packed).decode()])
 
     def load(self, text: str) -> None:
-        """Replaces the state by a saved one."""
+        """Replaces the state with a saved one."""
         self.number, packed = json.loads(text)
         self.packed = base64.b64decode(packed)
--- a/greengagemoor/control/operations.py
+++ b/greengagemoor/control/operations.py
@@ -1,4 +1,4 @@
-"""Operations asked of the leader: apply, read, claim, outcome, members."""
+"""Operations that the leader serves, such as applies, reads and claims."""
 
 from __future__ import annotations
 
@@ -20,78 +20,80 @@
     from greengagemoor.control.state import Applied, State
 
 
-_READS = frozenset({OpKind.READ, OpKind.READ_NUMBERED})
+_READ_KINDS = frozenset({OpKind.READ, OpKind.READ_NUMBERED})
 
 
-def take(state: State, asker: str, req: OpRequest) -> None:
-    """Takes in an operation; only a leader sure of its term serves it."""
-    if not _serves(state):
+def take(state: State, requester: str, req: OpRequest) -> None:
+    """Handles an operation, or redirects it if this member can't serve it."""
+    if not _can_serve(state):
         reply = OpReply(
             req.op_id, Code.NOT_LEADER, leader=state.leader_instance
         )
-        state.out.append(Send(asker, reply))
+        state.out.append(Send(requester, reply))
         return
-    if req.kind in _READS:
-        _take_read(state, asker, req)
+    if req.kind in _READ_KINDS:
+        _hold_read(state, requester, req)
     elif req.kind is OpKind.REMOVE_MEMBER:
-        _take_removal(state, asker, req)
-    elif not _answer_at_once(state, asker, req):
-        _propose(state, asker, req)
+        _remove_member(state, requester, req)
+    elif not _try_answer_immediately(state, requester, req):
+        _propose(state, requester, req)
 
 
-def _answer_at_once(state: State, asker: str, req: OpRequest) -> bool:
-    """Answers what needs no log entry; tells whether it did."""
+def _try_answer_immediately(
+    state: State, requester: str, req: OpRequest
+) -> bool:
+    """Answers without a log entry if possible; returns whether it did."""
     if req.kind is OpKind.APPLY:
-        return _answer_apply(state, asker, req)
+        return _answer_apply(state, requester, req)
     if req.kind is OpKind.PUT:
-        return _answer_put(state, asker, req)
+        return _answer_put(state, requester, req)
     return False
 
 
-def _serves(state: State) -> bool:
+def _can_serve(state: State) -> bool:
     """Whether this leader has committed an entry of its own term.
 
-    Before that it may not know all that was accepted before it, and a read
-    would go back.
+    Before that it may not know which earlier entries are committed, and a
+    read could return an older state.
     """
     return state.role is Role.LEADER and state.commit >= state.term_start_index
 
 
-def _propose(state: State, asker: str, req: OpRequest) -> None:
+def _propose(state: State, requester: str, req: OpRequest) -> None:
     command = attrs.evolve(req.command, time=state.now)
     index = election.append(state, command)
-    state.pending[index] = PendingOp(asker, req.op_id, req.kind, state.term)
+    state.pending[index] = PendingOp(requester, req.op_id, req.kind, state.term)
 
 
-def _answer_apply(state: State, asker: str, req: OpRequest) -> bool:
-    """Answers what needs no log entry: a known result, or a bad document."""
+def _answer_apply(state: State, requester: str, req: OpRequest) -> bool:
+    """Answers a known apply id or an invalid document without a log entry."""
     # Imported here, as groups with numbered documents never need it.
     from greengagemoor.document import parse_document
 
     command: ApplyDocument = req.command
-    known = state.machine.documents.known_result(command.apply_id)
-    if known is None:
+    result = state.machine.documents.known_result(command.apply_id)
+    if result is None:
         try:
             parse_document(command.text)
             return False
         except DocumentError as exc:
             faults = "\n".join(exc.faults)
-            known = ApplyResult(Code.INVALID, 0, detail=faults)
-    state.out.append(Send(asker, _apply_reply(req.op_id, known)))
+            result = ApplyResult(Code.INVALID, 0, detail=faults)
+    state.out.append(Send(requester, _apply_reply(req.op_id, result)))
     return True
 
 
-def _answer_put(state: State, asker: str, req: OpRequest) -> bool:
-    """Answers a number that is not higher than what is committed.
+def _answer_put(state: State, requester: str, req: OpRequest) -> bool:
+    """Answers a put whose number is not higher than the committed one.
 
-    A resend after a lost reply is as common as the change itself; it needs
-    no log entry, since what it asks for is already durable.
+    Resends after a lost reply are as common as changes. They need no log
+    entry, since the document is already durable.
     """
     number = state.machine.numbered.number
     if req.command.number > number:
         return False
     reply = OpReply(req.op_id, Code.ACCEPTED, version=number)
-    state.out.append(Send(asker, reply))
+    state.out.append(Send(requester, reply))
     return True
 
 
@@ -105,31 +107,31 @@
     )
 
 
-def _take_removal(state: State, asker: str, req: OpRequest) -> None:
-    fault = members.remove(state, req.member_id)
-    code = Code.CONFLICT if fault else Code.ACCEPTED
-    state.out.append(Send(asker, OpReply(req.op_id, code, detail=fault)))
+def _remove_member(state: State, requester: str, req: OpRequest) -> None:
+    error = members.remove(state, req.member_id)
+    code = Code.CONFLICT if error else Code.ACCEPTED
+    state.out.append(Send(requester, OpReply(req.op_id, code, detail=error)))
 
 
-def _take_read(state: State, asker: str, req: OpRequest) -> None:
+def _hold_read(state: State, requester: str, req: OpRequest) -> None:
     """Holds a read until a quorum answers a round that starts after it."""
     read = PendingRead(
-        asker, req.op_id, req.known_version, state.round + 1, req.kind
+        requester, req.op_id, req.known_version, state.round + 1, req.kind
     )
     state.reads.append(read)
     state.broadcast_due = True
 
 
 def finish(state: State) -> None:
-    """Gives askers the results of what was committed in this tick."""
+    """Sends the results of entries committed in this tick to requesters."""
     for applied in state.results:
         pending = state.pending.pop(applied.entry.index, None)
         if pending is not None:
-            _give_result(state, pending, applied)
+            _send_result(state, pending, applied)
     state.results.clear()
 
 
-def _give_result(state: State, op: PendingOp, applied: Applied) -> None:
+def _send_result(state: State, op: PendingOp, applied: Applied) -> None:
     if applied.entry.term != op.term:
         reply = OpReply(op.op_id, Code.APPLY_UNKNOWN)
     elif isinstance(applied.result, ApplyResult):
@@ -147,16 +149,16 @@
 
 
 def confirm(state: State) -> None:
-    """Answers reads, and tells all, once a quorum answered a round."""
-    if not _serves(state):
+    """Answers reads and reports the version once a quorum answered a round."""
+    if not _can_serve(state):
         return
     confirmed = _confirmed_round(state)
     if confirmed <= state.confirmed_round and len(state.voters) > 1:
         return
     state.confirmed_round = confirmed
-    ready = [read for read in state.reads if read.round <= confirmed]
+    confirmed_reads = [read for read in state.reads if read.round <= confirmed]
     state.reads = [read for read in state.reads if read.round > confirmed]
-    for read in ready:
+    for read in confirmed_reads:
         state.out.append(Send(read.asker, _read_reply(state, read)))
     if state.now >= state.confirm_at:
         state.confirm_at = state.now + state.timing.confirm
--- a/greengagemoor/control/status.py
+++ b/greengagemoor/control/status.py
@@ -1,4 +1,4 @@
-"""What operators are shown of a member of the control group."""
+"""Status of a member of the control group, as shown to operators."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @values.frozen
 class MemberStatus:
-    """How the leader sees a member."""
+    """State of one member, as seen by the member that reports it."""
 
     member_id: str
     instance: str
@@ -28,8 +28,8 @@
     """What ``greengagemoorctl members`` shows.
 
     Attributes:
-        spare: voters that may still be lost before the group stops; None when
-            this member does not lead and so can't tell.
+        spare: how many more voters may be lost before the group stops; None
+            unless this member is the leader.
     """
 
     role: str
@@ -46,16 +46,16 @@
     warning: str
 
     def gauges(self) -> dict[str, float]:
-        """Returns numbers for metrics; some only the leader can tell."""
+        """Returns values for metrics; some are known only to the leader."""
         voters = [row for row in self.members if row.voter]
-        told = {
+        counts = {
             "voters": len(voters),
             "learners": len(self.members) - len(voters),
         }
         if self.spare is None:
-            return told
+            return counts
         return {
-            **told,
+            **counts,
             "voters_silent": sum(not row.alive for row in voters),
             "losses_borne": max(0, self.spare),
         }
@@ -64,7 +64,7 @@
 def of(state: State) -> ControlStatus:
     """Returns the status of one member of the control group."""
     rows = tuple(_member_status(state, x) for x in state.members.values())
-    spare = _spare(state, rows)
+    spare = _spare_voters(state, rows)
     return ControlStatus(
         role=state.role.value,
         group=state.group,
@@ -99,7 +99,7 @@
     )
 
 
-def _spare(state: State, rows: tuple[MemberStatus, ...]) -> int | None:
+def _spare_voters(state: State, rows: tuple[MemberStatus, ...]) -> int | None:
     if state.role is not Role.LEADER:
         return None
     alive = sum(row.voter and row.alive for row in rows)
--- a/greengagemoor/control/writes.py
+++ b/greengagemoor/control/writes.py
@@ -1,4 +1,4 @@
-"""What a member has handed to its disk, and what waits for the sync."""
+"""Writes that a member handed to its disk, and what waits for their sync."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @values.frozen
 class Held:
-    """Something that must wait for a sync: a message, or the own vote."""
+    """A message, or the member's own vote, that must wait for a sync."""
 
     op: int
     send: Send | None = None
@@ -27,19 +27,19 @@
 
 @attrs.define(eq=False, repr=False)
 class Disk:
-    """What has been handed to the disk, and what is known to be synced.
+    """Writes handed to the disk, and which of them are known to be synced.
 
     Attributes:
         op: last operation handed over.
         synced_op: last operation known to be synced.
         synced_index: last log index known to be synced.
-        under_way: (op, last log index) of operations not yet synced.
+        unsynced: (op, last log index) of operations not yet synced.
     """
 
     op: int = 0
     synced_op: int = 0
     synced_index: int = 0
-    under_way: deque[tuple[int, int]] = attrs.field(factory=deque)
+    unsynced: deque[tuple[int, int]] = attrs.field(factory=deque)
     hard_changed: bool = False
     entries: list[LogEntry] = attrs.field(factory=list)
     snapshot: Snapshot | None = None
@@ -48,13 +48,13 @@
 
 
 def flush(state: State) -> None:
-    """Hands the tick's writes to the disk and releases what was synced."""
+    """Hands the tick's writes to the disk and queues what waits for them."""
     disk = state.disk
     if disk.hard_changed or disk.entries or disk.snapshot:
         disk.op += 1
         hard = HardState(state.group, state.term, state.voted_for)
         if disk.snapshot:
-            # The disk starts a new log behind a snapshot: it needs the whole
+            # The disk starts a new log after a snapshot. It needs the whole
             # tail, since entries written before may belong to another log.
             disk.hard_changed = True
             start = disk.snapshot.index + 1
@@ -67,7 +67,7 @@
                 snapshot=disk.snapshot,
             )
         )
-        disk.under_way.append((disk.op, state.log.last_index))
+        disk.unsynced.append((disk.op, state.log.last_index))
         disk.hard_changed = False
         disk.entries = []
         disk.snapshot = None
@@ -76,29 +76,29 @@
 
 
 def note_replaced(state: State, index: int) -> None:
-    """Takes back what counts as synced from ``index`` on.
+    """Marks entries from ``index`` on as not synced.
 
-    An operation still under way may name a last index whose entry has been
-    replaced since; its sync says nothing of the new entry there.
+    An operation that is not yet synced may have a last index whose entry has
+    been replaced since; its sync does not cover the new entry there.
     """
     disk = state.disk
     disk.synced_index = min(disk.synced_index, index - 1)
-    disk.under_way = deque(
-        (op, min(last, index - 1)) for op, last in disk.under_way
+    disk.unsynced = deque(
+        (op, min(last, index - 1)) for op, last in disk.unsynced
     )
 
 
 def note_synced(state: State, op: int) -> list[Held]:
-    """Takes in that ``op`` is synced; returns what waited for it."""
+    """Records that ``op`` is synced; returns the items that waited for it."""
     disk = state.disk
     disk.synced_op = max(disk.synced_op, op)
-    while disk.under_way and disk.under_way[0][0] <= op:
-        _, disk.synced_index = disk.under_way.popleft()
+    while disk.unsynced and disk.unsynced[0][0] <= op:
+        _, disk.synced_index = disk.unsynced.popleft()
     return release(state)
 
 
 def release(state: State) -> list[Held]:
-    """Returns held items whose sync is done, in order."""
+    """Removes and returns held items whose sync is done, in order."""
     disk = state.disk
     released = []
     while disk.held and disk.held[0].op <= disk.synced_op:
