--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -129,14 +129,14 @@
         "control/replication.py",
         "    index = matches[len(matches) // 2]",
         "    index = matches[0]",
-        (CONTROL + "TestAcceptedIsForever",),
+        (CONTROL + "TestAcceptedIsDurable",),
     ),
     Mutant(
         "accepted is for ever: reads ask a quorum",
         "control/operations.py",
         "    return rounds[len(rounds) // 2]",
         "    return rounds[0]",
-        (CONTROL + "TestAcceptedIsForever",),
+        (CONTROL + "TestAcceptedIsDurable",),
     ),
     Mutant(
         "apply: first result for a resend",
--- a/tests/test_control/test_apply.py
+++ b/tests/test_control/test_apply.py
@@ -1,4 +1,4 @@
-"""Applies: one winner, first results for ever, nothing accepted is lost."""
+"""Applies: one winner per version, stable results, durable acceptance."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class TestRace:
-    """Operators with competing changes at one version number."""
+    """Competing changes that replace the same version."""
 
-    def test_exactly_one_wins_and_the_other_learns_who(self, fleet, operator):
-        """Two documents under one version.
+    def test_exactly_one_wins_and_the_other_gets_its_id(self, fleet, operator):
+        """Guards against two documents with one version number.
 
-        Symptom: half of the entries follow one document, half another.
-        Sequence: two operators replace version 0 at two instances at once.
-        Cause: each instance decides for itself.
+        Two operators replace version 0 at two instances at the same time. If
+        each instance decided alone, entry instances would use different
+        documents.
         """
         tokens = [
             operator.apply("c1", "mine", 0, 1),
@@ -40,7 +40,7 @@
         fleet.run(1.0)
         assert set(versions(fleet).values()) == {1}
 
-    def test_invalid_document_is_refused_whole(self, fleet, operator):
+    def test_invalid_document_is_rejected(self, fleet, operator):
         token = operator.apply("c1", "bad", 0, -5)
         reply = operator.wait(token).reply
         assert reply.code == Code.INVALID
@@ -49,23 +49,21 @@
 
 
 class TestResend:
-    """A resend of an apply id gets the first result."""
+    """A resend of an apply id returns the first result."""
 
-    @pytest.mark.parametrize("story_name", ["other", "leader", "restart"])
-    def test_first_result(self, fleet, operator, story_name):
-        """A change that is applied twice, or lost to its own sender.
+    @pytest.mark.parametrize("scenario", ["other", "leader", "restart"])
+    def test_first_result(self, fleet, operator, scenario):
+        """Guards against a false conflict for an accepted apply.
 
-        Symptom: an operator resends after a lost reply and is told that
-        somebody else won.
-        Sequence: the apply is accepted, the reply lost; another change
-        follows; the same apply id is sent again.
-        Cause: the result is not kept with the state.
+        The reply to an accepted apply is lost, another change follows, and
+        the operator sends the first apply id again. The result must be kept
+        with the replicated state.
         """
         operator.accept("c1", "first", 0, 1)
         operator.accept("c1", "second", 1, 2)
-        if story_name == "leader":
+        if scenario == "leader":
             fleet.kill(fleet.leader())
-        if story_name == "restart":
+        if scenario == "restart":
             for name in GROUP:
                 fleet.kill(name)
             for name in GROUP:
@@ -97,16 +95,14 @@
         assert (reply.code, reply.winner) == (Code.CONFLICT, "a3")
 
 
-class TestAcceptedIsForever:
-    """What was accepted never reverts."""
+class TestAcceptedIsDurable:
+    """An accepted document is never lost or reverted."""
 
     def test_leader_killed_right_after_accepting(self, fleet, operator):
-        """An accepted document that is gone.
+        """Guards against acceptance before a quorum has synced.
 
-        Symptom: an operator was told "accepted", and the old document is in
-        force again.
-        Sequence: the leader accepts, tells so, and dies for good.
-        Cause: "accepted" is said before a quorum has synced it.
+        The leader replies "accepted" and is lost with its disk; the previous
+        document must not come back into force.
         """
         leader = fleet.leader()
         operator.accept(leader, "kept", 0, 1)
@@ -126,13 +122,11 @@
         assert done.reply.code == Code.APPLY_UNKNOWN
         assert versions(fleet)[leader] == 0
 
-    def test_cut_off_leader_answers_nothing_as_current(self, fleet, operator):
-        """A stale answer that looks current.
+    def test_cut_off_leader_returns_no_read_as_current(self, fleet, operator):
+        """Guards against stale reads from a leader that skips the quorum.
 
-        Symptom: an operator reads a document that was replaced an hour ago.
-        Sequence: the leader is cut off; the others elect a new one and accept
-        a change; the old leader is asked.
-        Cause: a leader answers reads without asking a quorum.
+        The leader is cut off, the others elect a new one and accept a change,
+        and an operator reads from the old leader, possibly an hour later.
         """
         old = fleet.leader()
         operator.accept(old, "before", 0, 1)
@@ -149,7 +143,7 @@
         fleet.run(5.0)
         assert set(versions(fleet).values()) == {2}
 
-    def test_frozen_leader_that_wakes_changes_nothing(self, fleet, operator):
+    def test_frozen_leader_that_resumes_changes_nothing(self, fleet, operator):
         old = fleet.leader()
         token = operator.apply(old, "asleep", 0, 1, wait=30.0)
         fleet.freeze(old)
@@ -163,7 +157,7 @@
         fleet.run(2.0)
         assert set(versions(fleet).values()) == {1}
 
-    def test_without_a_quorum_not_accepted_is_definite(self, fleet, operator):
+    def test_not_accepted_without_a_quorum_is_definite(self, fleet, operator):
         for name in GROUP[1:]:
             fleet.kill(name)
         fleet.run(20.0)
@@ -177,15 +171,14 @@
 
 
 class TestShares:
-    """Changes of entries that could break a connection cap are refused."""
+    """Changes of entries that could exceed a connection cap are rejected."""
 
-    def test_names_and_places_in_one_lease(self):
-        """A cap that is passed during a change.
+    def test_names_in_one_lease_exceed_places(self):
+        """Guards against an exceeded connection cap after a change of entries.
 
-        Symptom: searchers refuse connections after entries were replaced.
-        Sequence: an entry that is cut off goes on under the old document,
-        while the new one gives its part of the cap to another.
-        Cause: parts change hands while the old holder may still use them.
+        An entry instance that is cut off keeps its share under the old
+        document, while the new document assigns that share to another entry.
+        Searchers would refuse connections.
         """
         fleet = start_group(pace=20)
         operator = Operator(fleet)
@@ -217,7 +210,7 @@
 
 
 class TestSession:
-    """Golden files of whole stories."""
+    """Golden files of whole sessions."""
 
     def test_race_and_leader_loss(self, fleet, operator, file_regression):
         fleet.out.clear()
--- a/tests/test_control/test_evacuations.py
+++ b/tests/test_control/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuations of data centres, kept by the control group."""
+"""Evacuations of data centres in the replicated state."""
 
 from __future__ import annotations
 
@@ -32,25 +32,25 @@
 
 
 class Evacuator(Operator):
-    """Gives orders and reads what holds."""
+    """Sends evacuation commands and reads which evacuations are in force."""
 
-    def give(self, at, place, *, active, wait=WAIT_S):
-        """Gives an order; its result is under the returned token."""
-        token = f"{place}:{active}@{at}/{self.fleet.now}"
+    def submit(self, at, data_centre, *, active, wait=WAIT_S):
+        """Sends a command; its result is under the returned token."""
+        token = f"{data_centre}:{active}@{at}/{self.fleet.now}"
         table = self.fleet.nodes[at].control.state.machine.evacuations
-        number = table.number_of(place)
-        command = SetEvacuation(place, active, number, 0.0)
+        number = table.number_of(data_centre)
+        command = SetEvacuation(data_centre, active, number, 0.0)
         deadline = self.fleet.now + wait
         self._ask(at, Ask(token, OpKind.EVACUATE, deadline, command))
         return token
 
-    def order(self, at, place, *, active, wait=WAIT_S):
-        """Gives an order and waits; tells whether it was acknowledged."""
-        token = self.give(at, place, active=active, wait=wait)
+    def order(self, at, data_centre, *, active, wait=WAIT_S):
+        """Sends a command, waits, and returns whether it was accepted."""
+        token = self.submit(at, data_centre, active=active, wait=wait)
         return self.wait(token).reply.code == Code.ACCEPTED
 
     def active(self, at, wait=WAIT_S):
-        """Returns what a quorum confirms; None if none does in time."""
+        """Returns the evacuated data centres, None without a quorum in time."""
         token = f"list@{at}/{self.fleet.now}"
         deadline = self.fleet.now + wait
         self._ask(at, Ask(token, OpKind.READ_NUMBERED, deadline))
@@ -87,16 +87,16 @@
         assert self.set(table, False, 1).code is Code.ACCEPTED
         assert table.rows() == (Evacuation("dc1", 2, False),)
 
-    def test_held_up_order_does_not_undo_a_later_one(self):
-        """Guards against a zone that stays evacuated by an old start."""
+    def test_delayed_command_does_not_undo_a_later_one(self):
+        """Guards against a delayed start that evacuates a data centre again."""
         table = EvacuationTable()
         self.set(table, True, 0)
         self.set(table, False, 1)
         assert self.set(table, True, 0).code is Code.CONFLICT
         assert not table.rows()[0].active
 
-    def test_finish_voids_a_start_that_was_never_applied(self):
-        """Guards against a start that comes after its end changed nothing."""
+    def test_start_that_arrives_after_its_end_conflicts(self):
+        """Guards against a start that takes effect after its end."""
         table = EvacuationTable()
         assert self.set(table, False, 0).code is Code.ACCEPTED
         assert self.set(table, True, 0).code is Code.CONFLICT
@@ -112,9 +112,9 @@
 
 
 class TestView:
-    """What a process that is told of evacuations believes."""
+    """Evacuations as known by a process that receives them as rows."""
 
-    def test_order_of_words_does_not_matter(self):
+    def test_order_of_rows_does_not_matter(self):
         rows = (Evacuation("dc1", 1, True), Evacuation("dc1", 2, False))
         view = EvacuationView()
         assert view.take(reversed(rows)) == rows[1:]
@@ -123,34 +123,34 @@
 
 
 class TestGroup:
-    """Orders at a group of three."""
+    """Commands sent to a group of three."""
 
-    def test_orders_are_in_force_at_all(self, fleet, operator):
+    def test_commands_are_in_force_at_all_instances(self, fleet, operator):
         assert operator.order("c1", "dc1", active=True)
         assert operator.order("c2", "dc2", active=True)
         assert operator.active("c3") == {"dc1", "dc2"}
         assert operator.order("c3", "dc1", active=False)
         assert operator.active("c1") == {"dc2"}
 
-    def test_resent_order(self, fleet, operator):
+    def test_repeated_command(self, fleet, operator):
         for at in GROUP:
             assert operator.order(at, "dc1", active=True)
         assert operator.active("c1") == {"dc1"}
 
     def test_two_operators_at_once(self, fleet, operator):
-        """Guards against an order that its race makes void."""
+        """Guards against a command lost to a concurrent one."""
         tokens = [
-            operator.give(at, "dc1", active=active)
+            operator.submit(at, "dc1", active=active)
             for at, active in zip(GROUP, (True, False, True), strict=True)
         ]
         codes = {operator.wait(token).reply.code for token in tokens}
         assert codes == {Code.ACCEPTED}
 
-    def test_leader_that_is_cut_off(self, fleet, operator):
-        """Guards against an order that only a lost leader ever had."""
+    def test_command_at_a_leader_that_is_cut_off(self, fleet, operator):
+        """Guards against a command that takes effect after it failed."""
         leader = fleet.leader()
         fleet.cut_off(leader)
-        lost = operator.give(leader, "dc1", active=True, wait=ASK_S)
+        lost = operator.submit(leader, "dc1", active=True, wait=ASK_S)
         fleet.run(1.0)
         other = others(leader)[0]
         assert operator.order(other, "dc1", active=True, wait=10.0)
@@ -160,8 +160,8 @@
         assert operator.result(lost).reply.code != Code.ACCEPTED
         assert operator.active("c1") == set()
 
-    def test_held_up_request(self, fleet, operator):
-        """Guards against a copy on a link that outlives the order's end."""
+    def test_delayed_request(self, fleet, operator):
+        """Guards against a copy that arrives after the evacuation ended."""
         leader = fleet.leader()
         command = SetEvacuation("dc1", True, 0, 0.0)
         copy = OpRequest(9_999, OpKind.EVACUATE, command)
@@ -171,7 +171,7 @@
         fleet.run(1.0)
         assert operator.active(leader) == set()
 
-    def test_kill_of_everything(self, fleet, operator):
+    def test_restart_of_all_instances(self, fleet, operator):
         assert operator.order("c1", "dc1", active=True)
         restart(fleet, GROUP)
         fleet.run_until(lambda: is_whole(fleet))
--- a/tests/test_control/test_repair.py
+++ b/tests/test_control/test_repair.py
@@ -1,4 +1,4 @@
-"""A member without its disk is repaired safely."""
+"""Replacement of members that lost their disk or machine."""
 
 from __future__ import annotations
 
@@ -17,15 +17,14 @@
 
 
 class TestRepair:
-    """A member without its disk is a new member until it is whole again."""
+    """A member that lost its disk rejoins as a new member."""
 
-    def test_amnesiac_does_not_vote(self, fleet, operator):
-        """A vote of a member that forgot.
+    def test_member_without_its_disk_does_not_vote(self, fleet, operator):
+        """Guards against the loss of an accepted document after two failures.
 
-        Symptom: an accepted document is gone after two failures.
-        Sequence: c1 and c2 have synced a change that c3 lacks; c1 loses its
-        disk and restarts empty; c2 is cut off. c1 and c3 are a majority.
-        Cause: an empty member votes for a log that lacks the change.
+        c1 and c2 have synced a change that c3 lacks. c1 loses its disk and
+        restarts empty, and c2 is cut off. c1 and c3 are a majority; if the
+        empty c1 voted, c3 would lead with a log that lacks the change.
         """
         leader = fleet.leader()
         holder, lacking = others(leader)
@@ -71,16 +70,14 @@
         reply = operator.wait(operator.read(lost)).reply
         assert (reply.code, reply.version) == (Code.CURRENT, 1)
 
-    def test_member_without_the_whole_state_does_not_count(
+    def test_member_without_the_whole_state_is_not_spare(
         self, fleet, operator, monkeypatch
     ):
-        """A loss that the group was said to bear.
+        """Guards against a spare voter that is shown but not available.
 
-        Symptom: the members page shows a spare; one instance fails, and the
-        group stops.
-        Sequence: a member comes back without its disk and is promoted while
-        it still waits for the state, which takes long to reach it.
-        Cause: whoever answers heartbeats counts.
+        A member comes back without its disk and waits for the snapshot, which
+        takes long. If it counted because it answers heartbeats, the members
+        page would show a spare, and the next failure would stop the group.
         """
         monkeypatch.setattr(replication, "SNAPSHOT_EVERY", 10)
         monkeypatch.setattr(replication, "KEPT_BEHIND_SNAPSHOT", 2)
@@ -99,7 +96,7 @@
         fleet.run_until(lambda: is_whole(fleet))
         assert fleet.nodes[leader].control.status().spare == 1
 
-    def test_status_says_when_a_further_loss_stops_the_group(self, fleet):
+    def test_status_warns_when_a_further_loss_stops_the_group(self, fleet):
         leader = fleet.leader()
         assert fleet.nodes[leader].control.status().spare == 1
         fleet.kill(others(leader)[0])
@@ -109,12 +106,10 @@
         assert status.warning == "a further loss stops the group"
 
     def test_empty_founder_does_not_found_a_second_group(self, fleet, operator):
-        """A second, empty history.
+        """Guards against a second group after the founder lost its disk.
 
-        Symptom: entries that start fall back to no document at all.
-        Sequence: the instance that founded the group loses its disk and
-        restarts with the same settings.
-        Cause: an empty folder is taken for a new group.
+        The founder restarts with the same settings. If its empty folder were
+        taken for a new group, starting entries would get no document.
         """
         operator.accept("c1", "kept", 0, 1)
         group = fleet.nodes["c2"].control.state.group
@@ -127,17 +122,17 @@
 
 
 class TestReplacedElsewhere:
-    """A machine that is gone for good, and its successor at another address.
+    """Machines that are lost for good and replaced at other addresses.
 
-    Symptom: the group stopped at the loss of one machine of five. Sequence:
-    three machines one after another are lost for good and replaced at other
-    addresses. Cause: their votes stayed, so five of eight were needed.
+    Guards against votes of lost machines that stay in the member list. With
+    three of five machines replaced one after another, five of eight votes
+    would be needed, and the loss of one more machine would stop the group.
     """
 
     FIVE = ("c1", "c2", "c3", "c4", "c5")
 
     def replace(self, fleet, names, lost, new):
-        """Loses a machine; another one comes. Returns who is left."""
+        """Replaces a lost machine with a new one; returns the new names."""
         fleet.kill(lost)
         fleet.lose_disk(lost)
         names = (*(name for name in names if name != lost), new)
@@ -158,10 +153,10 @@
         operator.accept(fleet.leader(), "more", 1, 2)
 
     def test_two_of_five_are_gone_and_one_more_loss(self):
-        """Symptom: nothing could be read after the third loss of five.
+        """Guards against two silent voters that both stay in a group of five.
 
-        Cause: a silent voter of an odd number stayed, since taking out one
-        brings nothing; two silent ones stayed for the same reason.
+        Removing a single silent voter from an odd number gains nothing. If
+        two were kept for the same reason, a third loss would stop the group.
         """
         fleet = start_group(self.FIVE)
         operator = Operator(fleet)
@@ -174,10 +169,8 @@
         fleet.run_until(fleet.leader, most=5.0)
         operator.accept(fleet.leader(), "more", 1, 2)
 
-    def test_votes_of_lost_disks_go_before_the_new_ones_are_whole(
-        self, monkeypatch
-    ):
-        """Two of five lost their disks, and the state takes long to come."""
+    def test_votes_of_lost_disks_are_removed_before_catch_up(self, monkeypatch):
+        """Two of five lost their disks, and the snapshot takes long."""
         monkeypatch.setattr(replication, "SNAPSHOT_EVERY", 10)
         monkeypatch.setattr(replication, "KEPT_BEHIND_SNAPSHOT", 2)
         fleet = start_group(self.FIVE)
@@ -203,16 +196,16 @@
         state = fleet.nodes[fleet.leader()].control.state
         assert len(state.voters) == 5
 
-    def test_voter_that_was_taken_out_comes_back(self):
-        """Symptom: a member asked for votes for ever after a long cut.
+    def test_removed_voter_rejoins(self):
+        """Guards against a member that asks for votes forever after a long cut.
 
-        Cause: nobody sends a member the list in which it is missing.
+        It keeps asking because no member sends it the list without it.
         """
         four = self.FIVE[:4]
         fleet = start_group(four)
         operator = Operator(fleet)
-        lone = next(n for n in four if n != fleet.leader())
-        fleet.cut_off(lone)
+        follower = next(n for n in four if n != fleet.leader())
+        fleet.cut_off(follower)
         fleet.run(60.0)
         leader = fleet.leader()
         assert len(fleet.nodes[leader].control.state.voters) == 3
@@ -220,20 +213,20 @@
         fleet.heal()
         fleet.run_until(lambda: is_whole(fleet, four))
         fleet.run(1.0)
-        assert versions(fleet)[lone] == 1
+        assert versions(fleet)[follower] == 1
         assert fleet.leader() == leader
 
-    def test_also_over_a_restart(self):
+    def test_removed_voter_rejoins_after_a_restart(self):
         four = self.FIVE[:4]
         fleet = start_group(four)
-        lone = next(n for n in four if n != fleet.leader())
-        fleet.kill(lone)
+        follower = next(n for n in four if n != fleet.leader())
+        fleet.kill(follower)
         fleet.run(60.0)
-        fleet.start(lone)
+        fleet.start(follower)
         fleet.run_until(lambda: is_whole(fleet, four))
 
     def test_two_cut_off_voters_of_four_keep_their_votes(self):
-        """Half of a group can't take the other half out."""
+        """Half of a group can't remove the other half."""
         four = self.FIVE[:4]
         fleet = start_group(four)
         for name in four[:2]:
@@ -244,18 +237,19 @@
 
 
 class TestLeaderWithoutItsOldDisk:
-    """A leader that lost its disk before knows that its old vote is dead.
-
-    The list held the votes of both identities of the leader's instance until
-    the old one had been silent for the time to catch up, ten seconds. All that
-    while five votes stood where four could be given, so a group that had lost
-    one disk bore one loss less than it said. The leader waited for an answer
-    of its newer identity, as it does of others; it never answers itself.
+    """A leader removes the vote of its own earlier identity at once.
+
+    Guards against a list that keeps both identities of an instance that lost
+    its disk and now leads. The leader waited for an answer from the newer
+    identity, as it does for other instances, but it never answers itself. The
+    old identity stayed until it had been silent for the catch-up time of ten
+    seconds. Meanwhile only four of five votes could be given, so the group
+    could lose one member less than it reported.
     """
 
     FIVE = ("c1", "c2", "c3", "c4", "c5")
 
-    def test_its_old_vote_goes_at_once(self):
+    def test_its_old_identity_is_removed_at_once(self):
         fleet = start_group(self.FIVE)
         leader = fleet.leader()
         state = fleet.nodes[leader].control.state
--- a/tests/test_control/test_state_machine.py
+++ b/tests/test_control/test_state_machine.py
@@ -1,4 +1,4 @@
-"""Hypothesis: a control group and its askers through any order of faults."""
+"""Hypothesis: a control group and its clients under random faults."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def watch_leaders(fleet: FakeFleet, leaders: dict[int, str]) -> None:
-    """Checks after every tick that a term has one leader at the most."""
+    """Checks after every tick that each term has at most one leader."""
     deliver = fleet._deliver
 
     def watched(name, msgs):
@@ -268,7 +268,7 @@
 
 
 class TestNotRunIsTrue:
-    """A booking that is told "not run" may be sent again and runs once."""
+    """A booking answered "not run" may be sent again and runs once."""
 
     def test_resend_after_not_run_runs_once(self):
         fleet = start_fleet(ENTRIES, ("c1",))
--- a/tests/test_control/test_status.py
+++ b/tests/test_control/test_status.py
@@ -1,4 +1,4 @@
-"""What a member tells of its group."""
+"""Status of the group as reported by a member."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class TestAlive:
-    """A member is alive once it has answered this leader.
+    """A member counts as alive once it has answered this leader.
 
-    Symptom: after a kill of all control instances the group was shown as
-    whole while one of them was not listening yet. Sequence: two members start
-    first and elect a leader. Cause: a new leader counts all members as heard,
-    so that it doesn't step down at once, and showed that as alive.
+    Guards against a group shown as whole while one member is not listening
+    yet. After a kill of all control instances, two members start first and
+    elect a leader. A new leader treats all members as just heard from, so
+    that it does not step down at once; the status must not use that.
     """
 
-    def test_not_before_its_first_answer(self):
+    def test_not_alive_before_its_first_answer(self):
         decider = ControlDecider("a#1", "a:1", {}, random.Random(1))
         state = decider.state
         state.now = 100.0
