--- a/greengagemoor/routing/__init__.py
+++ b/greengagemoor/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which requests go to which services, and by which rules."""
+"""Routing of requests to services."""
--- a/greengagemoor/routing/routes.py
+++ b/greengagemoor/routing/routes.py
@@ -1,4 +1,4 @@
-"""The route table of one document: hosts and prefixes to rules."""
+"""The route table of a document: rules by host and path prefix."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Grade(enum.Enum):
-    """How often a request may run."""
+    """How often a request may be executed."""
 
     REPEATABLE = "repeatable"
     ONCE_PER_ATTEMPT = "once_per_attempt"
@@ -24,7 +24,7 @@
 
 @values.frozen
 class WeightedService:
-    """One part of a split; requests go to it in proportion to its weight."""
+    """One service of a split; it gets requests in proportion to its weight."""
 
     service: str
     weight: float = 1.0
@@ -32,11 +32,11 @@
 
 @values.frozen
 class Gather:
-    """A query over several services, each of them one shard.
+    """A query over several services, each of which is a shard.
 
     Attributes:
-        top: how many records the answer has at most.
-        least_coverage: smallest share of shards that makes an answer.
+        top: maximum number of records in the answer.
+        least_coverage: minimum share of shards, from 0 to 1, in an answer.
     """
 
     services: tuple[str, ...]
@@ -50,9 +50,10 @@
 
     Attributes:
         time_limit_s: longest time that a request may take here.
-        objective_s: an answer within it is worth most to the caller.
-        rank: 0 is the most urgent.
-        attempts: most searchers, of each service, for one request.
+        objective_s: target time; an answer within it is worth most to the
+            caller.
+        rank: priority; 0 is the most urgent.
+        attempts: maximum number of searchers per service for one request.
         split: services to choose from; empty for a gather.
     """
 
@@ -77,11 +78,12 @@
 
 @values.frozen
 class ServiceRules:
-    """What holds for each searcher of a service.
+    """Rules for each searcher of a service.
 
     Attributes:
-        cold_for_s: how long one is cold after its start.
-        cold_per_s: requests a second that a cold one bears; 0 for no bound.
+        cold_for_s: warm-up time after a start.
+        cold_per_s: most requests per second to a searcher that is warming up;
+            0 for no limit.
     """
 
     name: str
@@ -92,7 +94,7 @@
 
 @values.frozen
 class CallerLimits:
-    """Bounds on what callers send; times in seconds."""
+    """Limits on the requests of callers; times in seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 262_144
@@ -123,7 +125,7 @@
         }
 
     def find(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix that begins the path."""
+        """Returns the route with the longest prefix of the path."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
@@ -131,17 +133,17 @@
 
 
 def check(table: RouteTable) -> None:
-    """Checks what no single value shows.
+    """Checks constraints across several values of a document.
 
     Raises:
-        DocumentError: with every fault; the document must not be accepted.
+        DocumentError: the document must be rejected; lists all faults.
     """
-    faults = [*_double_routes(table), *_route_faults(table)]
+    faults = [*_duplicate_routes(table), *_route_faults(table)]
     if faults:
         raise DocumentError(faults)
 
 
-def _double_routes(table: RouteTable) -> Iterator[str]:
+def _duplicate_routes(table: RouteTable) -> Iterator[str]:
     counts = Counter((route.host, route.prefix) for route in table.routes)
     for (host, prefix), number in counts.items():
         if number > 1:
@@ -154,10 +156,10 @@
         if unknown:
             yield f"route {route.name}: unknown services {unknown[:3]}"
         if not route.services:
-            yield f"route {route.name}: no service"
+            yield f"route {route.name}: has no service"
         if route.time_limit_s <= 0:
-            yield f"route {route.name}: a time limit of 0"
+            yield f"route {route.name}: time limit must be above 0 s"
         if route.gather is None and sum(p.weight for p in route.split) <= 0:
-            yield f"route {route.name}: the weights add up to 0"
+            yield f"route {route.name}: sum of weights must be above 0"
         if any(part.weight < 0 for part in route.split):
-            yield f"route {route.name}: a negative weight"
+            yield f"route {route.name}: each weight must be at least 0"
--- a/tests/test_routing/test_routes.py
+++ b/tests/test_routing/test_routes.py
@@ -1,4 +1,4 @@
-"""Finding routes, and documents that must not be accepted."""
+"""Lookup of routes, and documents that must be rejected."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class TestFind:
-    """Host, then the longest prefix."""
+    """Routes are selected by host, then by the longest prefix."""
 
     TABLE = table(
         single(name="root", prefix="/"),
@@ -40,16 +40,16 @@
             ("o", "/a/b/", "other"),
         ],
     )
-    def test_longest(self, host, path, name):
+    def test_longest_prefix(self, host, path, name):
         assert self.TABLE.find(host, path).name == name
 
-    def test_none(self):
+    def test_no_route(self):
         assert self.TABLE.find("o", "/x") is None
         assert self.TABLE.find("p", "/") is None
 
 
 class TestCheck:
-    """Each fault alone refuses the document."""
+    """Each single fault rejects the document."""
 
     def test_valid(self):
         check(table(single(), gather(prefix="/all/")))
@@ -82,11 +82,11 @@
             "unknown shard",
         ],
     )
-    def test_faults(self, routes):
+    def test_each_fault(self, routes):
         with pytest.raises(DocumentError):
             check(table(*routes))
 
-    def test_all_faults_are_named(self):
+    def test_all_faults_are_listed(self):
         bad = attrs.evolve(single(), time_limit_s=0.0, split=())
         with pytest.raises(DocumentError) as info:
             check(table(bad))
