--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -362,7 +362,7 @@
     Mutant(
         "joining: no drain that nobody hears",
         "feed/hub.py",
-        "return self._outside and not self._subscribers.entries()",
+        "return self._is_outside_group and not self._subscribers.entries()",
         "return False",
         ("tests/test_serving/test_control.py",),
     ),
@@ -425,7 +425,7 @@
     Mutant(
         "shares: the count outlives a loss of power",
         "feed/subscribers.py",
-        "        self._kept_entries = entries\n",
+        "        self._restored_entries = entries\n",
         "",
         (FEED + "test_shares.py",),
     ),
@@ -439,8 +439,8 @@
     Mutant(
         "starts: few are asked in a round",
         "feed/reads.py",
-        "turn = (others[start:] + others[:start])[:ASKED_IN_TURN]",
-        "turn = others",
+        "asked = (others[start:] + others[:start])[:OTHERS_PER_ROUND]",
+        "asked = others",
         (FEED + "test_reads.py",),
     ),
     Mutant(
@@ -453,8 +453,8 @@
     Mutant(
         "ends: three make a suspect",
         "feed/suspects.py",
-        "SUSPECT_ENDS = 3",
-        "SUSPECT_ENDS = 9",
+        "SUSPECT_THRESHOLD = 3",
+        "SUSPECT_THRESHOLD = 9",
         (FORWARD + "test_crashing_requests.py::TestRule",),
     ),
     Mutant(
--- a/bench/mutants_of_places.py
+++ b/bench/mutants_of_places.py
@@ -36,7 +36,7 @@
     Mutant(
         "evacuations: known before an entry serves",
         "feed/view.py",
-        "        self._take_evacuations(reply.evacuations)\n",
+        "        self._merge_evacuations(reply.evacuations)\n",
         "",
         (FEED + "test_evacuations.py",),
     ),
--- a/greengagemoor/feed/__init__.py
+++ b/greengagemoor/feed/__init__.py
@@ -1,1 +1,1 @@
-"""How entries learn searchers and documents from the control instances."""
+"""Distribution of searchers and documents by control instances to entries."""
--- a/greengagemoor/feed/heard.py
+++ b/greengagemoor/feed/heard.py
@@ -1,4 +1,4 @@
-"""Searchers that a control instance heard itself."""
+"""Searchers that announced themselves to this control instance."""
 
 from __future__ import annotations
 
@@ -13,135 +13,156 @@
 
     from greengagemoor.feed.messages import SearcherKey
 
-FORGET_S = 120.0
-"""How long an ended searcher's id is kept, so that late words of it, held up
-by a cut, don't bring it back."""
-LOST_AFTER_BEATS = 2.6
-KEPT_BEATS = 1.8
-"""How long a row that was kept over a restart waits for its searcher."""
-JUMP_BEATS = 1.6
-COLD_AGAIN_S = 0.3
-"""More than an announcement's way varies."""
+ENDED_RETENTION_S = 120.0
+"""How long the row of an ended searcher is kept, so that announcements delayed
+by a network partition do not restore it."""
+LOST_AFTER_INTERVALS = 2.6
+"""Announcement intervals without an announcement after which a searcher is
+marked lost: two in a row are missing, the second by 0.6 intervals."""
+RESTORED_GRACE_INTERVALS = 1.8
+"""Announcement intervals after a restart within which the searcher of a
+restored row must announce itself to avoid being marked lost."""
+RESEND_AFTER_INTERVALS = 1.6
+"""Announcement intervals between two announcements beyond which an unchanged
+row is sent to entries again: at least one announcement is missing here, so
+another control instance may have marked the searcher lost."""
+WARM_UP_TOLERANCE_S = 0.3
+"""Increase of the remaining warm-up time that counts as a new warm-up; larger
+than the variation in the delay of announcements."""
 
 
 @attrs.define(eq=False, repr=False)
-class _Heard:
+class _TrackedRow:
     row: SearcherRow
-    heard_at: float
+    received_at: float
 
 
 class HeardRows:
-    """The table of announcements; ``changed`` is what others must be told."""
+    """Rows of the searchers that announced themselves here.
+
+    Attributes:
+        changed: rows that have changed and are still to be sent to others.
+    """
 
     def __init__(self, announce_s: float):
-        """Starts empty.
+        """Creates an empty table.
 
         Args:
-            announce_s: how often searchers announce themselves.
+            announce_s: interval at which searchers announce themselves.
         """
         self._announce_s = announce_s
-        self._heard: dict[str, _Heard] = {}
+        self._tracked: dict[str, _TrackedRow] = {}
         self._by_address: dict[str, str] = {}
         self.changed: list[SearcherRow] = []
 
     def rows(self) -> tuple[SearcherRow, ...]:
         """Returns all rows."""
-        return tuple(heard.row for heard in self._heard.values())
+        return tuple(tracked.row for tracked in self._tracked.values())
 
     def begin_with(self, now: float, rows: Iterable[SearcherRow]) -> None:
-        """Takes in rows that were kept before a restart.
+        """Restores rows that were stored before a restart.
 
-        After a kill of everything, searchers announce themselves only within
-        an interval; until then no entry would know any. A kept row that isn't
-        announced again soon is lost like one that fell silent.
+        After a restart of all processes it takes an announcement interval
+        until all searchers have announced themselves; without stored rows,
+        entries would have no searchers until then. A restored row without a
+        new announcement is marked lost, as for any silent searcher.
         """
-        silent = LOST_AFTER_BEATS - KEPT_BEATS
-        heard_at = now - silent * self._announce_s
+        elapsed = LOST_AFTER_INTERVALS - RESTORED_GRACE_INTERVALS
+        received_at = now - elapsed * self._announce_s
         for row in rows:
-            if row.searcher_id in self._heard:
+            if row.searcher_id in self._tracked:
                 continue
-            self._heard[row.searcher_id] = _Heard(row, heard_at)
+            self._tracked[row.searcher_id] = _TrackedRow(row, received_at)
             self._by_address.setdefault(row.address, row.searcher_id)
             self.changed.append(row)
 
     def announce(
         self, now: float, row: SearcherRow, *, displaces: bool = True
     ) -> bool:
-        """Takes in an announcement.
+        """Records an announcement.
 
         Args:
             now: seconds.
-            row: what the searcher says.
-            displaces: whether it ends another searcher that has its address.
+            row: the announced state of the searcher.
+            displaces: whether another searcher that is recorded at the same
+                address is marked gone.
 
         Returns:
-            Whether it is news to others.
+            Whether the row must be sent to others.
         """
-        known = self._heard.get(row.searcher_id)
-        if self._is_late(row, known):
+        known = self._tracked.get(row.searcher_id)
+        if self._is_outdated(row, known):
             return False
         if known is not None and known.row.address != row.address:
-            self._free(known.row)
-        self._settle(row, displaces=displaces)
-        self._heard[row.searcher_id] = _Heard(row, now)
-        if known is not None and not self._is_news(now, known, row):
+            self._release_address(known.row)
+        self._assign_address(row, displaces=displaces)
+        self._tracked[row.searcher_id] = _TrackedRow(row, now)
+        if known is not None and not self._must_send(now, known, row):
             return False
         self.changed.append(row)
         return True
 
-    def _is_late(self, row: SearcherRow, known: _Heard | None) -> bool:
+    def _is_outdated(self, row: SearcherRow, known: _TrackedRow | None) -> bool:
         if known is None:
             return False
         if row.start != known.row.start:
             return row.start < known.row.start
-        # A start that ended, or whose address another start has taken over,
-        # can only be heard of by words that were held up on their way.
+        # An incarnation that is gone, or that lost its address to another one,
+        # does not announce itself again: this announcement was delayed.
         if known.row.state is SearcherState.GONE:
             return True
         return row.sequence <= known.row.sequence
 
-    def _free(self, row: SearcherRow) -> None:
-        """Lets go of an address that a searcher no longer has.
+    def _release_address(self, row: SearcherRow) -> None:
+        """Removes the address that a searcher no longer has.
 
-        The next one there would otherwise end this searcher, which serves
-        elsewhere.
+        Otherwise the next searcher to announce itself there would mark this
+        one gone, although it serves at another address.
         """
         if self._by_address.get(row.address) == row.searcher_id:
             del self._by_address[row.address]
 
-    def _settle(self, row: SearcherRow, *, displaces: bool) -> None:
-        """Notes who has the address; ends the start that had it before."""
+    def _assign_address(self, row: SearcherRow, *, displaces: bool) -> None:
+        """Assigns the address to a row; marks its previous holder gone."""
         previous = self._by_address.get(row.address)
         if previous == row.searcher_id:
             return
-        heard = self._heard.get(previous) if previous else None
-        lives = heard is not None and heard.row.state is not SearcherState.GONE
-        if lives and not displaces:
+        tracked = self._tracked.get(previous) if previous else None
+        is_active = (
+            tracked is not None and tracked.row.state is not SearcherState.GONE
+        )
+        if is_active and not displaces:
             return
         self._by_address[row.address] = row.searcher_id
-        if lives:
-            self._set_state(heard, SearcherState.GONE)
+        if is_active:
+            self._set_state(tracked, SearcherState.GONE)
 
-    def _is_news(self, now: float, known: _Heard, row: SearcherRow) -> bool:
+    def _must_send(
+        self, now: float, known: _TrackedRow, row: SearcherRow
+    ) -> bool:
         if known.row.state is not row.state or known.row.start != row.start:
             return True
         if known.row.address != row.address:
             return True
-        if row.cold_left_s > self._cold_left_s(now, known) + COLD_AGAIN_S:
+        if (
+            row.cold_left_s
+            > self._remaining_warm_up_s(now, known) + WARM_UP_TOLERANCE_S
+        ):
             return True
         # After a gap, another control instance may have told entries that the
-        # searcher is lost, under a sequence above the one told from here.
-        gap = now - known.heard_at
-        return gap > JUMP_BEATS * self._announce_s
+        # searcher is lost, with a higher sequence than the last one sent here.
+        gap = now - known.received_at
+        return gap > RESEND_AFTER_INTERVALS * self._announce_s
 
-    def _cold_left_s(self, now: float, known: _Heard) -> float:
-        return max(0.0, known.row.cold_left_s - (now - known.heard_at))
+    def _remaining_warm_up_s(self, now: float, known: _TrackedRow) -> float:
+        return max(0.0, known.row.cold_left_s - (now - known.received_at))
 
     def leave(self, now: float, key: SearcherKey) -> None:
-        """Takes in that a start of a searcher ends."""
-        heard = self._heard.get(key.searcher_id)
-        if heard is None or heard.row.start < key.start:
-            # Heard elsewhere so far; entries know its address from there.
+        """Marks an incarnation of a searcher gone."""
+        tracked = self._tracked.get(key.searcher_id)
+        if tracked is None or tracked.row.start < key.start:
+            # The incarnation announced itself to other control instances only;
+            # entries have its address from them.
             row = SearcherRow(
                 key.searcher_id,
                 service="",
@@ -153,41 +174,41 @@
                 cold_left_s=0.0,
                 start=key.start,
             )
-            if heard is not None:
-                self._free(heard.row)
-            self._heard[key.searcher_id] = _Heard(row, now)
+            if tracked is not None:
+                self._release_address(tracked.row)
+            self._tracked[key.searcher_id] = _TrackedRow(row, now)
             self.changed.append(row)
         elif (
-            heard.row.start == key.start
-            and heard.row.state is not SearcherState.GONE
+            tracked.row.start == key.start
+            and tracked.row.state is not SearcherState.GONE
         ):
-            self._set_state(heard, SearcherState.GONE)
+            self._set_state(tracked, SearcherState.GONE)
 
     def start_of(self, searcher_id: str) -> int | None:
-        """Returns the newest start that was heard of; None if none was."""
-        heard = self._heard.get(searcher_id)
-        return heard.row.start if heard is not None else None
+        """Returns the newest start of a searcher; None if it is unknown."""
+        tracked = self._tracked.get(searcher_id)
+        return tracked.row.start if tracked is not None else None
 
-    def _set_state(self, heard: _Heard, state: SearcherState) -> None:
-        heard.row = attrs.evolve(heard.row, state=state)
-        self.changed.append(heard.row)
+    def _set_state(self, tracked: _TrackedRow, state: SearcherState) -> None:
+        tracked.row = attrs.evolve(tracked.row, state=state)
+        self.changed.append(tracked.row)
 
     def sweep(self, now: float) -> list[SearcherKey]:
-        """Marks searchers lost that went silent.
+        """Marks silent searchers lost and removes those that ended long ago.
 
         Returns:
-            The starts that ended long ago; they are forgotten.
+            The incarnations that were removed.
         """
-        silent = now - LOST_AFTER_BEATS * self._announce_s
+        cutoff = now - LOST_AFTER_INTERVALS * self._announce_s
         ended = []
-        for heard in self._heard.values():
-            if heard.heard_at > silent:
+        for tracked in self._tracked.values():
+            if tracked.received_at > cutoff:
                 continue
-            if heard.row.state is SearcherState.READY:
-                self._set_state(heard, SearcherState.LOST)
-            elif heard.heard_at < now - FORGET_S:
-                ended.append(heard.row)
+            if tracked.row.state is SearcherState.READY:
+                self._set_state(tracked, SearcherState.LOST)
+            elif tracked.received_at < now - ENDED_RETENTION_S:
+                ended.append(tracked.row)
         for row in ended:
-            del self._heard[row.searcher_id]
-            self._free(row)
+            del self._tracked[row.searcher_id]
+            self._release_address(row)
         return [row.key for row in ended]
--- a/greengagemoor/feed/helpers.py
+++ b/greengagemoor/feed/helpers.py
@@ -1,4 +1,4 @@
-"""Which other entries an entry may share queries with."""
+"""Selection of the other entries that an entry may share queries with."""
 
 from __future__ import annotations
 
@@ -11,33 +11,34 @@
 
     from greengagemoor.feed.messages import Subscribe
 
-HELPERS = 5
-"""Links to others that an entry opens; about as many others open one to it."""
+HELPERS_PER_ENTRY = 5
+"""Most links that an entry opens to others; about as many others link to it."""
 
 
 def choose(entries: Iterable[Subscribe], name: str) -> tuple[Helper, ...]:
-    """Returns the ready entries of a data centre that come next in order.
+    """Returns the ready entries that follow ``name`` in its data centre.
 
-    Each is named to as many others, whatever their number, and a change of
-    one entry moves few links.
+    The order is circular, by name. Each entry is assigned to the same number
+    of others, however many there are, and a change of one entry changes few
+    links.
 
     Args:
-        entries: that are linked.
-        name: the one that asks.
+        entries: the linked entries.
+        name: the entry that asks.
     """
     rows = {entry.name: entry for entry in entries}
     if name not in rows:
         return ()
-    place = rows[name].data_centre
+    own_data_centre = rows[name].data_centre
     names = sorted(
         row.name
         for row in rows.values()
-        if row.data_centre == place
+        if row.data_centre == own_data_centre
         and row.peer_address
         and (row.ready or row.name == name)
     )
     if name not in names:
         return ()
-    turn = names.index(name) + 1
-    following = (names[turn:] + names[: turn - 1])[:HELPERS]
+    start = names.index(name) + 1
+    following = (names[start:] + names[: start - 1])[:HELPERS_PER_ENTRY]
     return tuple(Helper(n, rows[n].peer_address) for n in following)
--- a/greengagemoor/feed/hub.py
+++ b/greengagemoor/feed/hub.py
@@ -1,4 +1,4 @@
-"""Control side of the feed: takes announcements, pushes changes to entries."""
+"""Control side of the feed: sends announced changes to entries."""
 
 from __future__ import annotations
 
@@ -14,7 +14,11 @@
 )
 from greengagemoor.feed import helpers
 from greengagemoor.feed import messages as m
-from greengagemoor.feed.heard import FORGET_S, LOST_AFTER_BEATS, HeardRows
+from greengagemoor.feed.heard import (
+    ENDED_RETENTION_S,
+    LOST_AFTER_INTERVALS,
+    HeardRows,
+)
 from greengagemoor.feed.history import DocumentHistory
 from greengagemoor.feed.messages import SearcherState
 from greengagemoor.feed.rows import OtherRows
@@ -29,24 +33,25 @@
 
 
 class Hub:
-    """Pushes what this control instance heard itself.
+    """Sends the searchers that announced themselves here to subscribers.
 
-    Each entry subscribes at every control instance, so a change crosses each
-    link once, and no two control instances need to agree on a searcher: the
-    entry takes the row with the highest sequence. Control instances subscribe
-    at each other too; what they learn so is for entries that subscribe later.
+    Each entry subscribes to every control instance, so a change crosses each
+    link once, and control instances need not agree on a searcher: the entry
+    keeps the row with the highest sequence. Control instances also subscribe
+    to each other; the rows received this way go to entries that subscribe
+    later.
     """
 
     def __init__(self, timing: Timing, name: str = ""):
-        """Starts knowing nothing.
+        """Creates a hub without searchers and subscribers.
 
         Args:
             timing: intervals.
-            name: this control instance.
+            name: name of this control instance.
         """
         self._timing = timing
-        self._me = m.Subscribe(name, "", "", ready=False)
-        self._heard = HeardRows(timing.announce)
+        self._subscription = m.Subscribe(name, "", "", ready=False)
+        self._own_rows = HeardRows(timing.announce)
         self._subscribers = Subscribers()
         self._number = 0
         self._documents = DocumentHistory()
@@ -55,31 +60,33 @@
         self._peer_names: frozenset[str] = frozenset()
         self._linked: set[str] = set()
         self._subscribed: set[str] = set()
-        self._others = OtherRows(LOST_AFTER_BEATS * timing.announce, FORGET_S)
-        self._slow = SlowTable()
+        self._other_rows = OtherRows(
+            LOST_AFTER_INTERVALS * timing.announce, ENDED_RETENTION_S
+        )
+        self._slow_searchers = SlowTable()
         self._evacuations = EvacuationView()
         self.suspects = SuspectSpread(self._subscribers)
         self._services: frozenset[str] | None = None
-        self._outside = False
+        self._is_outside_group = False
         self._sweep_at = 0.0
         self._now = 0.0
         self._out: list = []
 
     @property
     def number(self) -> int:
-        """Grows with each change of the rows."""
+        """Version of this instance's rows; increases with each change."""
         return self._number
 
     @property
     def others_number(self) -> int:
-        """Grows with each change of other instances' rows."""
-        return self._others.changes
+        """Version of other instances' rows; increases with each change."""
+        return self._other_rows.changes
 
     def step(self, now: float, msgs: Iterable[object]) -> list:
         """Runs one tick.
 
         Args:
-            now: seconds of a clock that doesn't go back.
+            now: seconds of a monotonic clock.
             msgs: ``Announced``, ``Leaving``, ``Received``, ``LinkUp``,
                 ``LinkDown``, ``NumberedAccepted``, ``EvacuationsAccepted``,
                 ``ClearSuspect``.
@@ -90,26 +97,26 @@
         """
         self._now, self._out = now, []
         for msg in msgs:
-            self._take(msg)
-        self._drive_subscribe()
+            self._handle(msg)
+        self._subscribe_to_peers()
         if now >= self._sweep_at:
             self._sweep()
-        self._push()
-        self._release()
+        self._send_changes()
+        self._send_due_acks()
         return self._out
 
     def next_wake(self) -> float:
-        """Returns when a tick is due although no message came."""
+        """Returns when the next tick is due if no message arrives."""
         times = (self._sweep_at, self._subscribers.next_release)
         return min(at for at in times if at is not None)
 
     def entries_for_caller(self) -> list[m.Subscribe]:
-        """Returns the entries that a caller may be given."""
+        """Returns the ready entries to list to a caller, in rotating order."""
         return self._subscribers.ready_in_turn()
 
     def gauges(self) -> dict[str, float]:
-        """Returns numbers of the moment, for metrics."""
-        states = Counter(row.state.value for row in self._heard.rows())
+        """Returns current values for metrics."""
+        states = Counter(row.state.value for row in self._own_rows.rows())
         return {
             "entries_linked": len(self._subscribers.entries()),
             "entries_ready": len(self._subscribers.ready()),
@@ -119,47 +126,47 @@
         }
 
     def kept_rows(self) -> m.SearcherRows:
-        """Returns what a restart of this instance should begin with."""
+        """Returns this instance's rows to store for a restart."""
         gone = SearcherState.GONE
-        kept = tuple(r for r in self._heard.rows() if r.state is not gone)
+        kept = tuple(r for r in self._own_rows.rows() if r.state is not gone)
         return m.SearcherRows(self._number, True, kept)
 
     @property
     def entries_seen(self) -> int:
-        """How many entries share what searchers and rules allow."""
+        """Number of entries that share the limits of searchers and rules."""
         return self._subscribers.entries_seen
 
     def begin_with_entries(self, now: float, number: int) -> None:
-        """Takes in how many entries there were before a restart."""
+        """Restores the number of entries from before a restart."""
         self._subscribers.begin_with(now, number)
 
     def kept_others(self) -> m.SearcherRows:
-        """Returns what a restart should know of other instances' words."""
-        return m.SearcherRows(self._number, True, self._others.rows())
+        """Returns other instances' rows to store for a restart."""
+        return m.SearcherRows(self._number, True, self._other_rows.rows())
 
     def begin_with_others(
         self, now: float, rows: Iterable[m.SearcherRow]
     ) -> None:
-        """Takes in other instances' rows that were kept before a restart."""
-        self._others.begin_with(now, rows)
+        """Restores other instances' rows stored before a restart."""
+        self._other_rows.begin_with(now, rows)
 
     def begin_with(self, now: float, rows: Iterable[m.SearcherRow]) -> None:
-        """Takes in rows that were kept before a restart.
+        """Restores this instance's rows stored before a restart.
 
         Args:
             now: as in ``step``, which may not have run yet.
-            rows: what was kept.
+            rows: the stored rows.
         """
-        self._heard.begin_with(now, rows)
+        self._own_rows.begin_with(now, rows)
 
     def set_peers(
         self, addresses: tuple[str, ...], names: frozenset[str] = frozenset()
     ) -> None:
-        """Sets the control instances that entries are told of.
+        """Sets the control instances whose addresses are sent to entries.
 
         Args:
-            addresses: where they are reached.
-            names: what they are called on links.
+            addresses: their peer addresses.
+            names: their names on links.
         """
         self._peer_names = names
         if addresses != self._peers:
@@ -167,32 +174,33 @@
             self._peers_changed = True
 
     def set_outside(self, outside: bool) -> None:
-        """Sets whether this control instance is outside any group.
+        """Sets whether this control instance belongs to no control group.
 
-        Entries are told of members only. As long as none has linked to an
-        instance outside by itself, a drain that it acknowledged would be
-        heard by nobody; the searcher turns to another instance instead.
+        Entries receive the addresses of members only. An instance outside the
+        group that no entry has linked to rejects announcements: a drain that it
+        acknowledged would reach no entry. The searcher then asks another
+        instance.
         """
-        self._outside = outside
+        self._is_outside_group = outside
 
     def set_services(self, names: frozenset[str]) -> None:
-        """Sets the services that the document in force names.
+        """Sets the services that the document in force defines.
 
-        An announcement may come from another writer. Only one for a service
-        that is named ends the searcher that has had its address.
+        An announcement may come from another writer. It marks the previous
+        searcher at its address gone only if its service is defined.
         """
         self._services = names
 
     def _known_peers(self) -> m.KnownPeers:
         return m.KnownPeers(self._peers, self._subscribers.entries_seen)
 
-    def _take(self, msg: object) -> None:
+    def _handle(self, msg: object) -> None:
         if isinstance(msg, m.Announced):
-            self._take_announced(msg)
+            self._handle_announced(msg)
         elif isinstance(msg, m.Leaving):
-            self._take_leaving(msg)
+            self._handle_leaving(msg)
         elif isinstance(msg, Received):
-            self._take_received(msg.sender, msg.payload)
+            self._handle_received(msg.sender, msg.payload)
         elif isinstance(msg, m.LinkUp):
             self._linked.add(msg.name)
         elif isinstance(msg, m.LinkDown):
@@ -200,57 +208,57 @@
             self._subscribed.discard(msg.name)
             self._subscribers.drop(msg.name)
         elif isinstance(msg, NumberedAccepted):
-            self._take_document(msg)
+            self._handle_document(msg)
         elif isinstance(msg, EvacuationsAccepted):
-            self._take_evacuations(msg)
+            self._handle_evacuations(msg)
         elif isinstance(msg, m.ClearSuspect):
             self._out += self.suspects.clear(msg.fingerprint)
 
-    def _drive_subscribe(self) -> None:
-        """Asks other control instances for their rows, once a link."""
+    def _subscribe_to_peers(self) -> None:
+        """Subscribes to other control instances, once per link."""
         for name in (self._peer_names & self._linked) - self._subscribed:
             self._subscribed.add(name)
-            self._out.append(Send(name, self._me))
+            self._out.append(Send(name, self._subscription))
 
-    def _take_announced(self, msg: m.Announced) -> None:
-        if self._is_unheard():
+    def _handle_announced(self, msg: m.Announced) -> None:
+        if self._has_no_audience():
             self._out.append(m.AnnouncementRefused(msg.token))
             return
         row = msg.row
-        named = self._services is None or row.service in self._services
-        if self._heard.announce(self._now, row, displaces=named):
-            self._hold(msg.token)
+        is_defined = self._services is None or row.service in self._services
+        if self._own_rows.announce(self._now, row, displaces=is_defined):
+            self._delay_ack(msg.token)
         else:
             self._out.append(m.AnnouncementTaken(msg.token))
 
-    def _is_unheard(self) -> bool:
-        return self._outside and not self._subscribers.entries()
+    def _has_no_audience(self) -> bool:
+        return self._is_outside_group and not self._subscribers.entries()
 
-    def _take_leaving(self, msg: m.Leaving) -> None:
-        if self._is_unheard():
+    def _handle_leaving(self, msg: m.Leaving) -> None:
+        if self._has_no_audience():
             self._out.append(m.AnnouncementRefused(msg.token))
             return
         start = msg.start
         if start is None:
-            # It doesn't say which start ends; the newest one known is meant.
-            start = self._heard.start_of(msg.searcher_id)
+            # The message names no start: the newest known one is meant.
+            start = self._own_rows.start_of(msg.searcher_id)
         if start is None:
-            start = self._others.start_of(msg.searcher_id)
-        self._heard.leave(self._now, m.SearcherKey(msg.searcher_id, start))
-        self._hold(msg.token)
+            start = self._other_rows.start_of(msg.searcher_id)
+        self._own_rows.leave(self._now, m.SearcherKey(msg.searcher_id, start))
+        self._delay_ack(msg.token)
 
-    def _hold(self, token: object) -> None:
-        """Acknowledges once all that are linked have taken the change."""
+    def _delay_ack(self, token: object) -> None:
+        """Delays an acknowledgement until all subscribers have the change."""
         self._subscribers.hold(self._now, token, self._number + 1)
 
-    def _take_received(self, sender: str, payload: object) -> None:
+    def _handle_received(self, sender: str, payload: object) -> None:
         if isinstance(payload, m.Subscribe):
-            self._take_subscribe(sender, payload)
+            self._handle_subscribe(sender, payload)
         elif isinstance(payload, m.SearcherRows):
-            self._others.take(self._now, payload.rows)
+            self._other_rows.take(self._now, payload.rows)
             self._out.append(Send(sender, m.RowsTaken(payload.number)))
         elif isinstance(payload, m.SlowReport):
-            self._take_slow(payload)
+            self._handle_slow_report(payload)
         elif isinstance(payload, m.SuspectRows):
             self._out += self.suspects.take(sender, payload.rows)
         elif isinstance(payload, m.WantHelpers):
@@ -265,73 +273,73 @@
             document = self._documents.answer(payload.known_number)
             self._out.append(Send(sender, document))
 
-    def _take_slow(self, msg: m.SlowReport) -> None:
+    def _handle_slow_report(self, msg: m.SlowReport) -> None:
         for searcher in msg.searchers:
-            avoid_s = self._slow.note(self._now, searcher)
+            avoid_s = self._slow_searchers.note(self._now, searcher)
             if avoid_s is None:
                 continue
-            told = m.SlowSearchers((searcher,), avoid_s)
+            message = m.SlowSearchers((searcher,), avoid_s)
             for name in self._subscribers:
-                self._out.append(Send(name, told))
+                self._out.append(Send(name, message))
 
-    def _take_subscribe(self, sender: str, msg: m.Subscribe) -> None:
-        seen = self._subscribers.entries_seen
+    def _handle_subscribe(self, sender: str, msg: m.Subscribe) -> None:
+        previous = self._subscribers.entries_seen
         if not self._subscribers.put(self._now, sender, msg):
             return
-        if self._subscribers.entries_seen != seen:
+        if self._subscribers.entries_seen != previous:
             self._peers_changed = True
-        rows = self._heard.rows()
+        rows = self._own_rows.rows()
         if msg.address:
-            # Others' rows first: where both know a searcher, the entry keeps
-            # the newer row.
-            rows = self._others.rows() + rows
+            # Others' rows first: where both sets contain a searcher, the entry
+            # keeps the newer row.
+            rows = self._other_rows.rows() + rows
         self._out.append(Send(sender, self._known_peers()))
         if msg.address and self._evacuations.rows():
-            told = m.Evacuations(self._evacuations.rows())
-            self._out.append(Send(sender, told))
+            message = m.Evacuations(self._evacuations.rows())
+            self._out.append(Send(sender, message))
         self._out += self.suspects.tell(sender, is_entry=bool(msg.address))
         self._out.append(Send(sender, m.SearcherRows(self._number, True, rows)))
         self._out.append(Send(sender, m.DocumentNumber(self._documents.number)))
 
-    def _take_document(self, msg: NumberedAccepted) -> None:
+    def _handle_document(self, msg: NumberedAccepted) -> None:
         if not self._documents.put(msg.number, msg.packed):
             return
         for name in self._subscribers:
             self._out.append(Send(name, m.DocumentNumber(msg.number)))
 
-    def _take_evacuations(self, msg: EvacuationsAccepted) -> None:
-        news = self._evacuations.take(msg.rows)
-        if not news:
+    def _handle_evacuations(self, msg: EvacuationsAccepted) -> None:
+        changed = self._evacuations.take(msg.rows)
+        if not changed:
             return
-        told = m.Evacuations(news)
+        message = m.Evacuations(changed)
         self._out += [
-            Send(name, told)
+            Send(name, message)
             for name in self._subscribers
             if self._subscribers.is_entry(name)
         ]
 
     def _sweep(self) -> None:
-        """Marks searchers lost that went silent, forgets what is long ended."""
+        """Marks silent searchers lost and removes expired records."""
         self._sweep_at = self._now + self._timing.announce / 4
-        self._others.sweep(self._now)
-        for searcher in self._heard.sweep(self._now):
-            self._slow.forget(searcher)
+        self._other_rows.sweep(self._now)
+        for searcher in self._own_rows.sweep(self._now):
+            self._slow_searchers.forget(searcher)
         self._subscribers.sweep(self._now)
 
-    def _push(self) -> None:
+    def _send_changes(self) -> None:
         if self._peers_changed:
             self._peers_changed = False
             for name in self._subscribers:
                 self._out.append(Send(name, self._known_peers()))
-        changed = tuple(self._heard.changed)
+        changed = tuple(self._own_rows.changed)
         if not changed:
             return
         self._number += 1
         rows = m.SearcherRows(self._number, False, changed)
-        self._heard.changed.clear()
+        self._own_rows.changed.clear()
         for name in self._subscribers:
             self._out.append(Send(name, rows))
 
-    def _release(self) -> None:
+    def _send_due_acks(self) -> None:
         tokens = self._subscribers.release(self._now, self._number)
         self._out += [m.AnnouncementTaken(token) for token in tokens]
--- a/greengagemoor/feed/messages.py
+++ b/greengagemoor/feed/messages.py
@@ -14,10 +14,10 @@
 
 
 class SearcherState(enum.Enum):
-    """What is known of a searcher.
+    """State of a searcher.
 
-    ``LOST`` is a control instance's guess from missing announcements; the
-    others are the searcher's own words.
+    A control instance infers ``LOST`` from missing announcements; the searcher
+    itself reports the others.
     """
 
     READY = "ready"
@@ -27,19 +27,19 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether the searcher runs nothing any more, as far as known."""
+        """Whether the searcher is believed to process no requests any more."""
         return self in (SearcherState.GONE, SearcherState.LOST)
 
 
 @values.frozen
 class SearcherKey:
-    """One start of a searcher.
+    """One incarnation of a searcher: a run of its process.
 
     Attributes:
-        searcher_id: may be the one of an earlier start.
-        start: when it started, in Unix milliseconds of the searcher's own
-            clock; 0 if it doesn't say. It orders starts of one id and is
-            compared with no other clock.
+        searcher_id: may be reused by later incarnations.
+        start: start time in Unix milliseconds of the searcher's own clock; 0
+            if not reported. It orders the incarnations of one ID and is never
+            compared with another clock.
     """
 
     searcher_id: str
@@ -48,12 +48,12 @@
 
 @values.frozen
 class SearcherRow:
-    """One start of a searcher, as one control instance heard it.
+    """One incarnation of a searcher, as announced to one control instance.
 
     Attributes:
-        sequence: grows with each announcement of that start.
-        slots: requests that it works on at once.
-        cold_left_s: how much longer it is slow after its start.
+        sequence: increases with each announcement of the incarnation.
+        slots: number of requests that it processes concurrently.
+        cold_left_s: remaining warm-up time.
         start: as in ``SearcherKey``.
     """
 
@@ -69,17 +69,17 @@
 
     @property
     def key(self) -> SearcherKey:
-        """Names this start."""
+        """Identifies this incarnation."""
         return SearcherKey(self.searcher_id, self.start)
 
 
 @values.frozen
 class Subscribe:
-    """A process asks for rows; an entry again at each change of ``ready``.
+    """Requests rows; an entry sends it again when ``ready`` changes.
 
     Attributes:
-        address: where callers reach it; '' for a control instance.
-        peer_address: where other entries reach it.
+        address: address for callers; '' for a control instance.
+        peer_address: address for other entries.
     """
 
     name: str
@@ -91,12 +91,12 @@
 
 @values.frozen
 class WantHelpers:
-    """An entry asks with which others it may share queries."""
+    """An entry requests the entries with which it may share queries."""
 
 
 @values.frozen
 class Helper:
-    """An entry as other entries reach it."""
+    """An entry and its address for other entries."""
 
     name: str
     address: str
@@ -104,17 +104,17 @@
 
 @values.frozen
 class Helpers:
-    """Entries with which the asking one may share queries."""
+    """Entries with which the requesting entry may share queries."""
 
     helpers: tuple[Helper, ...]
 
 
 @values.frozen
 class SearcherRows:
-    """Rows that changed, or all rows of the sender when ``whole``.
+    """Changed rows, or all rows of the sender if ``whole`` is set.
 
     Attributes:
-        number: grows with each message of one sender.
+        number: version of the sender's rows; increases with each change.
     """
 
     number: int
@@ -124,7 +124,7 @@
 
 @values.frozen
 class RowsTaken:
-    """An entry has taken in all ``SearcherRows`` up to ``number``."""
+    """Acknowledges all ``SearcherRows`` up to ``number``."""
 
     number: int
 
@@ -138,18 +138,19 @@
 
 @values.frozen
 class WantNumbered:
-    """Asks for the document, if it is newer than ``known_number``."""
+    """Requests the document if it is newer than ``known_number``."""
 
     known_number: int
 
 
 @values.frozen
 class NumberedDocument:
-    """A document with the operator's number.
+    """A document with the number that the operator gave it.
 
     Attributes:
-        packed: compressed.
-        base: number of the document against which it is packed, 0 if none.
+        packed: the compressed document, or its difference from ``base``.
+        base: number of the document that the difference applies to; 0 if
+            ``packed`` is the whole document.
     """
 
     number: int
@@ -159,12 +160,12 @@
 
 @values.frozen
 class KnownPeers:
-    """Where control instances are found.
+    """Addresses of the control instances.
 
     Attributes:
         addresses: their peer addresses.
-        entries: how many entries the sender has heard lately, gone ones
-            included.
+        entries: number of entries recently linked to the sender, including
+            entries that have gone since.
     """
 
     addresses: tuple[str, ...]
@@ -173,14 +174,14 @@
 
 @values.frozen
 class SlowReport:
-    """An entry saw late answers, or none, of these searchers; once each."""
+    """Searchers, each once, that answered an entry late or not at all."""
 
     searchers: tuple[SearcherKey, ...]
 
 
 @values.frozen
 class SlowSearchers:
-    """These searchers are slow for several entries; avoid them that long."""
+    """Searchers that several entries found slow, to avoid for ``for_s``."""
 
     searchers: tuple[SearcherKey, ...]
     for_s: float
@@ -188,14 +189,15 @@
 
 @values.frozen
 class Suspect:
-    """A request under which searchers have ended.
+    """A request during which searchers terminated.
 
     Attributes:
-        fingerprint: of the request.
-        epoch: how often it was cleared.
-        ended: starts that ended as they ran it since then; the first few.
-        failed: starts that ended in a trial of it.
-        sure: nothing but the request explains the end of one of these.
+        fingerprint: fingerprint of the request.
+        epoch: number of times it was cleared.
+        ended: the first few incarnations that terminated while running it
+            in this epoch.
+        failed: incarnations that terminated in a trial of it.
+        sure: whether one of these terminations has no other possible cause.
         route: name of its route, for operators.
     """
 
@@ -209,14 +211,14 @@
 
 @values.frozen
 class SuspectRows:
-    """What the sender knows of some requests; it is joined, never replaced."""
+    """Rows of some requests; the receiver merges them and replaces none."""
 
     rows: tuple[Suspect, ...]
 
 
 @values.frozen
 class Evacuations:
-    """The latest word on each data centre that the sender knows."""
+    """Latest evacuation state of each data centre known to the sender."""
 
     rows: tuple[Evacuation, ...]
 
@@ -226,35 +228,35 @@
 
 @values.frozen
 class HelpersLearnt:
-    """With which entries this one may share queries from now on."""
+    """The entries with which this one may share queries from now on."""
 
     helpers: tuple[Helper, ...]
 
 
 @values.frozen
 class EvacuationsLearnt:
-    """Newer words on data centres reached this entry."""
+    """This entry received newer evacuation states of data centres."""
 
     rows: tuple[Evacuation, ...]
 
 
 @values.frozen
 class SuspectsSeen:
-    """An entry has seen searchers end, or a request answered."""
+    """An entry observed that searchers terminated or a request was answered."""
 
     rows: tuple[Suspect, ...]
 
 
 @values.frozen
 class SuspectsLearnt:
-    """What others have seen reached this entry."""
+    """This entry received suspect requests from a control instance."""
 
     rows: tuple[Suspect, ...]
 
 
 @values.frozen
 class StandingChanged:
-    """A request is suspected, quarantined or cleared here from now on."""
+    """The standing of a request changed here."""
 
     row: Suspect
 
@@ -268,7 +270,7 @@
 
 @values.frozen
 class SlowSeen:
-    """A send took several times the usual of its route."""
+    """A send took several times the usual time of its route."""
 
     searcher: SearcherKey
 
@@ -278,7 +280,7 @@
     """A searcher announced itself here.
 
     Attributes:
-        token: echoed in ``AnnouncementTaken``.
+        token: returned in ``AnnouncementTaken``.
     """
 
     token: object
@@ -287,10 +289,10 @@
 
 @values.frozen
 class Leaving:
-    """A searcher says that it ends; it may serve a little longer.
+    """A searcher reports that it will stop; it may still serve briefly.
 
     Attributes:
-        start: which start of it says so; None if it doesn't say.
+        start: start time of the incarnation; None if not reported.
     """
 
     token: object
@@ -300,42 +302,42 @@
 
 @values.frozen
 class AnnouncementTaken:
-    """The announcement may be acknowledged now."""
+    """The announcement may now be acknowledged to the searcher."""
 
     token: object
 
 
 @values.frozen
 class AnnouncementRefused:
-    """The announcement was not taken in; another instance may take it."""
+    """The announcement was rejected; another instance may accept it."""
 
     token: object
 
 
 @values.frozen
 class LinkUp:
-    """A link to a process of ours works; ``name`` is that process."""
+    """A link to the instance ``name`` is established."""
 
     name: str
 
 
 @values.frozen
 class LinkDown:
-    """The link to a process of ours is gone."""
+    """The link to the instance ``name`` is closed."""
 
     name: str
 
 
 @values.frozen
 class SearcherLearnt:
-    """An entry's view of a searcher is new or has changed."""
+    """A searcher is new to this entry, or its row changed."""
 
     row: SearcherRow
 
 
 @values.frozen
 class DocumentLearnt:
-    """A newer document reached this entry."""
+    """This entry received a newer document."""
 
     number: int
     packed: bytes
@@ -343,7 +345,7 @@
 
 @values.frozen
 class DifferenceRefused:
-    """A difference does not fit what this entry has; it asks for the whole."""
+    """A difference could not be applied; the entry requests the whole text."""
 
     source: str
     number: int
@@ -352,6 +354,6 @@
 
 @values.frozen
 class ReadyChanged:
-    """Whether this entry may be given to callers."""
+    """Whether this entry may be listed to callers has changed."""
 
     ready: bool
--- a/greengagemoor/feed/reads.py
+++ b/greengagemoor/feed/reads.py
@@ -1,4 +1,4 @@
-"""Asking the control group which document is current."""
+"""Requests to the control group for the number of the current document."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 
 from greengagemoor.control.messages import OpKind, OpRequest, Send
 
-READ_AGAIN_S = 0.1
-READ_SOON_S = 0.02
-"""Least time between two reads, when there is reason to ask before
-``READ_AGAIN_S`` is over."""
-ASKED_IN_TURN = 2
-"""Control instances asked in a round, besides the one that is said to lead: it
-may be frozen or cut off, and others know a newer one."""
+READ_INTERVAL_S = 0.1
+MIN_READ_INTERVAL_S = 0.02
+"""Shortest time from one round to the next, if that is moved forward."""
+OTHERS_PER_ROUND = 2
+"""Control instances asked per round besides the reported leader, which may be
+frozen or partitioned while others know a newer one."""
 
 
 @attrs.define(eq=False, repr=False)
 class Reads:
-    """Whom a starting entry asks, and when.
+    """Selects the control instances that a starting entry asks, and when.
 
-    An entry that trusted the first control instance could serve an old
-    document after a restart, if that instance is cut off from the others. So
-    only the leader confirms, and says so after a quorum has answered it.
+    A control instance that is partitioned from the others may have an old
+    document, and an entry that accepted its answer would serve that document.
+    So only the leader confirms the current document, after a quorum has
+    answered it.
 
     Attributes:
-        at: when the next round is due.
+        at: time at which the next round is due.
     """
 
     at: float = 0.0
     _leader: str = ""
-    _turn: int = 0
+    _offset: int = 0
     _ids: count = attrs.field(factory=lambda: count(1))
 
     def is_due(self, now: float) -> bool:
@@ -39,17 +39,17 @@
         return now >= self.at
 
     def hurry(self, now: float) -> None:
-        """Asks again soon: a control instance has a document, or leads.
+        """Moves the next round forward after a document or leader is announced.
 
-        After a kill of everything the control group has a leader at some
-        moment; an entry that asks each tenth of a second lets callers wait
-        half of that after it for nothing.
+        After a restart of all processes, an entry that asks only every 0.1 s
+        would learn of the elected leader 0.05 s late on average, while callers
+        wait.
         """
-        soon = self.at - READ_AGAIN_S + READ_SOON_S
+        soon = self.at - READ_INTERVAL_S + MIN_READ_INTERVAL_S
         self.at = min(self.at, max(now, soon))
 
     def note_leader(self, now: float, name: str) -> None:
-        """Learns who leads, from one that does not."""
+        """Records the leader that another control instance names."""
         if name and name != self._leader:
             self._leader = name
             self.hurry(now)
@@ -60,9 +60,9 @@
         Args:
             now: seconds.
             linked: control instances with a link.
-            known: number of the newest document that is here or on its way.
+            known: number of the newest document that is here or being fetched.
         """
-        self.at = now + READ_AGAIN_S
+        self.at = now + READ_INTERVAL_S
         return [
             Send(
                 name,
@@ -70,18 +70,17 @@
                     next(self._ids), OpKind.READ_NUMBERED, known_version=known
                 ),
             )
-            for name in self._whom(linked)
+            for name in self._recipients(linked)
         ]
 
-    def _whom(self, linked: list[str]) -> list[str]:
-        """Returns who is said to lead, and others in turn.
+    def _recipients(self, linked: list[str]) -> list[str]:
+        """Returns the reported leader and the next others in rotation.
 
-        After a loss of power all entries ask at the same moment. If each asked
-        all control instances, these would be busy with answers while they have
-        to elect one.
+        After a power loss all entries ask at the same time. If each asked all
+        control instances, the answers would slow down the leader election.
         """
         others = [name for name in linked if name != self._leader]
-        start = self._turn % max(1, len(others))
-        self._turn = start + ASKED_IN_TURN
-        turn = (others[start:] + others[:start])[:ASKED_IN_TURN]
-        return [self._leader, *turn] if self._leader in linked else turn
+        start = self._offset % max(1, len(others))
+        self._offset = start + OTHERS_PER_ROUND
+        asked = (others[start:] + others[:start])[:OTHERS_PER_ROUND]
+        return [self._leader, *asked] if self._leader in linked else asked
--- a/greengagemoor/feed/rows.py
+++ b/greengagemoor/feed/rows.py
@@ -1,4 +1,4 @@
-"""Which of two words about a searcher holds, and rows that others told."""
+"""Merging of searcher rows, and the rows from other control instances."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 
 
 def newer(known: SearcherRow, row: SearcherRow) -> SearcherRow:
-    """Returns the row that holds, of two about one searcher.
+    """Returns the one of two rows of a searcher that takes precedence.
 
-    A searcher that starts again under its id counts its announcements anew:
-    compared by the count alone, its words look late for as long as it ran
-    before, and it gets no request for that time.
+    A searcher that restarts under the same ID counts its announcements from the
+    beginning. Compared by ``sequence`` alone, they would be discarded as
+    outdated for as long as the previous incarnation ran, and the searcher would
+    get no requests.
     """
     if row.start != known.start:
         return row if row.start > known.start else known
@@ -34,61 +35,69 @@
 
 
 @attrs.define(eq=False, repr=False)
-class _Told:
+class _ReceivedRow:
     row: SearcherRow
     until: float
 
 
 class OtherRows:
-    """Rows that other control instances heard.
-
-    They are never spoken of in the own name; an entry that subscribes gets
-    them beside the own ones. After a kill of everything the first control
-    instances to return would otherwise know a part of the searchers only: at
-    two of five back, most shards had one searcher for the first 0.3 s, whose
-    few connections were taken at once.
+    """Rows received from other control instances.
+
+    They are sent only to entries that subscribe, together with this instance's
+    own rows.
+    After a restart of all processes, the first control instances to return
+    would otherwise know only part of the searchers: with two of five back, most
+    shards had a single searcher for the first 0.3 s, and its few connections
+    were used up at once.
     """
 
     def __init__(self, unconfirmed_s: float, ended_s: float):
-        """Starts empty.
+        """Creates an empty table.
 
         Args:
-            unconfirmed_s: how long a row kept over a restart stands that no
-                other control instance tells again.
+            unconfirmed_s: how long a restored row is kept if no other control
+                instance sends it again.
             ended_s: how long the row of an ended searcher is kept.
         """
         self._unconfirmed_s = unconfirmed_s
         self._ended_s = ended_s
-        self._told: dict[str, _Told] = {}
+        self._received: dict[str, _ReceivedRow] = {}
         self.changes = 0
 
     def begin_with(self, now: float, rows: Iterable[SearcherRow]) -> None:
-        """Takes in rows that were kept before a restart."""
+        """Restores rows that were stored before a restart."""
         for row in rows:
             until = now + self._unconfirmed_s
-            self._told.setdefault(row.searcher_id, _Told(row, until))
+            self._received.setdefault(row.searcher_id, _ReceivedRow(row, until))
 
     def take(self, now: float, rows: Iterable[SearcherRow]) -> None:
-        """Takes in what another control instance tells."""
+        """Merges rows received from another control instance."""
         for row in rows:
-            known = self._told.get(row.searcher_id)
-            held = row if known is None else newer(known.row, row)
-            self.changes += known is None or held != known.row
-            lives = held.state in (SearcherState.READY, SearcherState.DRAINING)
-            until = float("inf") if lives else now + self._ended_s
-            self._told[row.searcher_id] = _Told(held, until)
+            known = self._received.get(row.searcher_id)
+            merged = row if known is None else newer(known.row, row)
+            self.changes += known is None or merged != known.row
+            is_active = merged.state in (
+                SearcherState.READY,
+                SearcherState.DRAINING,
+            )
+            until = float("inf") if is_active else now + self._ended_s
+            self._received[row.searcher_id] = _ReceivedRow(merged, until)
 
     def sweep(self, now: float) -> None:
-        """Forgets what has ended, or was never confirmed."""
-        over = [key for key, told in self._told.items() if told.until <= now]
-        for key in over:
-            del self._told[key]
+        """Removes expired rows of ended searchers and unconfirmed rows."""
+        expired = [
+            key
+            for key, received in self._received.items()
+            if received.until <= now
+        ]
+        for key in expired:
+            del self._received[key]
 
     def start_of(self, searcher_id: str) -> int:
-        """Returns the start that was told last, 0 if none was."""
-        told = self._told.get(searcher_id)
-        return told.row.start if told is not None else 0
+        """Returns the newest start of a searcher; 0 if it is unknown."""
+        received = self._received.get(searcher_id)
+        return received.row.start if received is not None else 0
 
     def rows(self) -> tuple[SearcherRow, ...]:
         """Returns all rows."""
-        return tuple(told.row for told in self._told.values())
+        return tuple(received.row for received in self._received.values())
--- a/greengagemoor/feed/slowness.py
+++ b/greengagemoor/feed/slowness.py
@@ -1,4 +1,4 @@
-"""Which searchers are slow, from what several entries saw."""
+"""Detection of slow searchers from the reports of several entries."""
 
 from __future__ import annotations
 
@@ -11,56 +11,57 @@
 
 SLICE_S = 0.2
 WINDOW_SLICES = 7
-LEAST_SLICES = 5
-"""A pause of 120 or 250 ms makes several sends late, and they are told within
-three slices; now and then a send is late by itself. Reports in five slices of
-seven are of a searcher that stays slow."""
+MIN_SLICES = 5
+"""Slices with a report, among the last ``WINDOW_SLICES``, from which on a
+searcher counts as slow. A pause of 120 or 250 ms delays several sends, which
+are reported within three slices, and single sends are late now and then;
+reports in five of seven slices indicate a searcher that stays slow."""
 FIRST_AVOID_S = 2.0
-LONGEST_AVOID_S = 6.0
-AGAIN_S = 1.5
-"""A searcher that is slow again so soon after it was asked again is left alone
-twice as long."""
+MAX_AVOID_S = 6.0
+RELAPSE_WINDOW_S = 1.5
+"""A searcher that is slow again within this time after it was last avoided is
+avoided twice as long, up to ``MAX_AVOID_S``."""
 
 
 @attrs.define(eq=False, repr=False)
-class _Slow:
+class _SearcherReports:
     slices: set[int] = attrs.field(factory=set)
     avoid_s: float = FIRST_AVOID_S
     until: float = float("-inf")
 
 
 class SlowTable:
-    """Collects reports and tells which searchers all entries should avoid.
+    """Collects reports and selects the searchers that all entries avoid.
 
-    With many entries each one sends to a searcher only every few seconds, so
-    each would have to find out by itself, at the cost of a late shard or of a
-    second send: one slow searcher would spoil an answer of each entry.
+    With many entries, each sends to a given searcher only every few seconds. If
+    each entry had to detect a slow searcher by itself, each would pay with a
+    late shard or a second send.
     """
 
     def __init__(self):
-        self._rows: dict[SearcherKey, _Slow] = {}
+        self._rows: dict[SearcherKey, _SearcherReports] = {}
 
     def note(self, now: float, searcher: SearcherKey) -> float | None:
-        """Takes in a report.
+        """Records a report.
 
         Returns:
-            For how many seconds entries should avoid the searcher from now
-            on; None if nothing new is to be said.
+            For how many seconds entries should avoid the searcher from now on;
+            None if nothing changes.
         """
-        row = self._rows.setdefault(searcher, _Slow())
+        row = self._rows.setdefault(searcher, _SearcherReports())
         current = int(now / SLICE_S)
         oldest = current - WINDOW_SLICES
         row.slices = {s for s in row.slices if s > oldest} | {current}
-        if now < row.until or len(row.slices) < LEAST_SLICES:
+        if now < row.until or len(row.slices) < MIN_SLICES:
             return None
-        again = now - row.until < AGAIN_S
+        is_relapse = now - row.until < RELAPSE_WINDOW_S
         row.avoid_s = (
-            min(2 * row.avoid_s, LONGEST_AVOID_S) if again else FIRST_AVOID_S
+            min(2 * row.avoid_s, MAX_AVOID_S) if is_relapse else FIRST_AVOID_S
         )
         row.until = now + row.avoid_s
         row.slices.clear()
         return row.avoid_s
 
     def forget(self, searcher: SearcherKey) -> None:
-        """Forgets a start that has ended."""
+        """Removes the reports about an incarnation that has ended."""
         self._rows.pop(searcher, None)
--- a/greengagemoor/feed/spread.py
+++ b/greengagemoor/feed/spread.py
@@ -1,4 +1,4 @@
-"""How a control instance spreads what is known of suspect requests."""
+"""Distribution of suspect requests by a control instance."""
 
 from __future__ import annotations
 
@@ -18,87 +18,93 @@
 
     from greengagemoor.feed.subscribers import Subscribers
 
-DECIDED = (Standing.SUSPECT, Standing.QUARANTINED)
-"""What is told on a new link. Requests that are only watched are left out
-where all entries link at once: a crash of many searchers leaves thousands."""
+ENFORCED_STANDINGS = (Standing.SUSPECT, Standing.QUARANTINED)
+"""Standings whose rows are sent on a new link. Watched requests are omitted: a
+crash of many searchers leaves thousands of them, and all entries may link at
+the same time."""
 
 
 class SuspectSpread:
-    """Joins what entries and other control instances tell, and tells on.
+    """Merges rows from entries and other control instances and forwards them.
 
-    Entries of a fleet each see few searchers end under one request; only
-    together they see enough. Each entry tells all control instances that it is
-    linked to, and each of these tells all entries, so one that works is enough.
+    Each entry sees few searchers terminate during one request; only the sum
+    over all entries is conclusive. Each entry sends its rows to all linked
+    control instances, and each of these forwards them to all entries, so one
+    working control instance is sufficient.
     """
 
     def __init__(self, subscribers: Subscribers):
-        """Starts empty.
+        """Creates an empty table.
 
         Args:
-            subscribers: whom to tell.
+            subscribers: the processes that rows are sent to.
         """
         self.table = SuspectTable()
         self._subscribers = subscribers
 
     def kept(self) -> SuspectRows:
-        """Returns what a restart of this instance should still know."""
+        """Returns the rows to store for a restart of this instance."""
         return SuspectRows(self.table.rows(*Standing))
 
     def begin_with(self, rows: Iterable[Suspect]) -> None:
-        """Takes in what was kept before a restart."""
+        """Restores rows that were stored before a restart."""
         for row in rows:
             self.table.join(row)
 
     def take(self, sender: str, rows: Iterable[Suspect]) -> list:
-        """Takes in rows; returns what is told on."""
-        news = []
+        """Merges rows; returns the resulting messages."""
+        changed = []
         out: list = []
         for row in rows:
             before = self.table.standing(row.fingerprint)
             joined = self.table.join(row)
             if joined is None:
                 continue
-            news.append(joined)
+            changed.append(joined)
             if standing_of(joined) is not before:
                 out.append(StandingChanged(joined))
-        return [*out, *self._tell_others(sender, news)]
+        return [*out, *self._forward(sender, changed)]
 
     def clear(self, fingerprint: bytes) -> list:
-        """Clears a request for an operator; returns what is told on."""
+        """Clears a request for an operator; returns the resulting messages."""
         row = self.table.get(fingerprint)
         if row is None:
             return []
         return self.take("", (cleared(row),))
 
     def tell(self, name: str, *, is_entry: bool) -> list[Send]:
-        """Returns what a new subscriber is told.
+        """Returns the messages to a new subscriber.
 
-        An entry needs no watched requests, another control instance all: it
-        may have lost its disk.
+        An entry needs no watched requests. Another control instance needs all
+        rows, as it may have lost its disk.
         """
-        return tell(self.table, name, DECIDED if is_entry else Standing)
+        return tell(
+            self.table, name, ENFORCED_STANDINGS if is_entry else Standing
+        )
 
-    def _tell_others(self, sender: str, news: list[Suspect]) -> list[Send]:
-        if not news:
+    def _forward(self, sender: str, changed: list[Suspect]) -> list[Send]:
+        if not changed:
             return []
-        decided = tuple(row for row in news if _matters_to_entries(row))
+        relevant = tuple(row for row in changed if _is_relevant_to_entries(row))
         out = []
         for name in self._subscribers:
             is_entry = self._subscribers.is_entry(name)
-            rows = decided if is_entry else tuple(news)
+            rows = relevant if is_entry else tuple(changed)
             if rows and name != sender:
                 out.append(Send(name, SuspectRows(rows)))
         return out
 
 
 def tell(
-    table: SuspectTable, name: str, standings: Iterable[Standing] = DECIDED
+    table: SuspectTable,
+    name: str,
+    standings: Iterable[Standing] = ENFORCED_STANDINGS,
 ) -> list[Send]:
-    """Returns what tells a process all that a table knows."""
+    """Returns the message that sends the rows of a table to a process."""
     rows = table.rows(*standings)
     return [Send(name, SuspectRows(rows))] if rows else []
 
 
-def _matters_to_entries(row: Suspect) -> bool:
-    """Whether entries hold a request back, or did so before it was cleared."""
+def _is_relevant_to_entries(row: Suspect) -> bool:
+    """Whether entries hold the request back, or did before it was cleared."""
     return standing_of(row) is not Standing.WATCHED or row.epoch > 0
--- a/greengagemoor/feed/subscribers.py
+++ b/greengagemoor/feed/subscribers.py
@@ -1,4 +1,4 @@
-"""Processes that asked for rows, and acknowledgements that wait for them."""
+"""Subscribers to rows, and the acknowledgements that wait for them."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
     from greengagemoor.feed.messages import Subscribe
 
-HOLD_S = 0.6
-"""Longest wait of an acknowledgement for the entries; callers wait 1 s."""
-ENTRY_SEEN_S = 600.0
-"""How long an entry counts for connection shares after it was last heard."""
+MAX_ACK_DELAY_S = 0.6
+"""Longest delay of an acknowledgement; callers wait 1 s for it."""
+ENTRY_RETENTION_S = 600.0
+"""How long an entry counts for connection shares after its link closed."""
 
 
 @attrs.define(eq=False, repr=False)
@@ -31,7 +31,7 @@
 
 
 @values.frozen
-class _Waiting:
+class _PendingAck:
     token: object
     number: int
     until: float
@@ -43,25 +43,25 @@
     def __init__(self):
         self._rows: dict[str, _Subscriber] = {}
         self._entries_seen: dict[str, float] = {}
-        self._kept_entries = 0
-        self._kept_until = float("-inf")
-        self._waiting: deque[_Waiting] = deque()
-        self._turn = 0
+        self._restored_entries = 0
+        self._restored_until = float("-inf")
+        self._pending_acks: deque[_PendingAck] = deque()
+        self._offset = 0
 
     def __iter__(self) -> Iterator[str]:
-        """Goes through their names."""
+        """Iterates over their names."""
         return iter(self._rows)
 
     def is_entry(self, name: str) -> bool:
-        """Whether a process is an entry that is linked."""
-        one = self._rows.get(name)
-        return one is not None and one.is_entry
+        """Whether a process is a linked entry."""
+        subscriber = self._rows.get(name)
+        return subscriber is not None and subscriber.is_entry
 
     def put(self, now: float, name: str, msg: Subscribe) -> bool:
-        """Adds a process, or takes in what it says anew.
+        """Adds a subscriber or updates its subscription.
 
         Returns:
-            Whether it is new on this link, so that it needs all rows.
+            Whether it is new on this link and so needs all rows.
         """
         known = self._rows.get(name)
         if known is not None:
@@ -73,94 +73,101 @@
         return True
 
     def begin_with(self, now: float, entries: int) -> None:
-        """Takes in how many entries there were before a restart.
+        """Restores the number of entries from before a restart.
 
-        After a loss of power the first entry to come back would be told that
-        it is alone, and take all that searchers and rules allow to all.
+        After a power loss the first entry to return would otherwise count as
+        the only one, and use the whole allowance of searchers and rules.
         """
-        self._kept_entries = entries
-        self._kept_until = now + ENTRY_SEEN_S
+        self._restored_entries = entries
+        self._restored_until = now + ENTRY_RETENTION_S
 
     def drop(self, name: str) -> None:
-        """Forgets a process whose link is gone."""
+        """Removes a subscriber whose link is closed."""
         self._rows.pop(name, None)
 
     def note_taken(self, name: str, number: int) -> None:
-        """Notes that a process has taken in all rows up to a number."""
-        one = self._rows.get(name)
-        if one is not None:
-            one.taken = max(one.taken, number)
+        """Records that a subscriber has received all rows up to a number."""
+        subscriber = self._rows.get(name)
+        if subscriber is not None:
+            subscriber.taken = max(subscriber.taken, number)
 
     def hold(self, now: float, token: object, number: int) -> None:
-        """Holds an acknowledgement until all have taken in a number.
+        """Delays an acknowledgement until all subscribers have a number.
 
-        A searcher that drains stops serving some seconds after the
-        acknowledgement. If that outran the change, entries would go on
-        sending to it.
+        A draining searcher stops serving some seconds after the
+        acknowledgement. An entry that had not received the change by then
+        would still send to it.
         """
-        self._waiting.append(_Waiting(token, number, now + HOLD_S))
+        self._pending_acks.append(
+            _PendingAck(token, number, now + MAX_ACK_DELAY_S)
+        )
 
     def release(self, now: float, number: int) -> list[object]:
-        """Returns the tokens of what may be acknowledged now.
+        """Returns the tokens of the acknowledgements that are due.
 
         Args:
             now: seconds.
-            number: of the latest rows that were sent.
+            number: number of the latest rows sent.
         """
-        taken = min((one.taken for one in self._rows.values()), default=number)
+        taken = min(
+            (subscriber.taken for subscriber in self._rows.values()),
+            default=number,
+        )
         tokens = []
-        while self._waiting:
-            first = self._waiting[0]
+        while self._pending_acks:
+            first = self._pending_acks[0]
             if first.number > taken and now < first.until:
                 break
-            tokens.append(self._waiting.popleft().token)
+            tokens.append(self._pending_acks.popleft().token)
         return tokens
 
     def sweep(self, now: float) -> None:
-        """Forgets entries that were not linked for long."""
-        for name, one in self._rows.items():
-            if one.is_entry:
+        """Stops counting entries that have been without a link for too long."""
+        for name, subscriber in self._rows.items():
+            if subscriber.is_entry:
                 self._entries_seen[name] = now
         self._entries_seen = {
             name: seen
             for name, seen in self._entries_seen.items()
-            if seen > now - ENTRY_SEEN_S
+            if seen > now - ENTRY_RETENTION_S
         }
-        if now >= self._kept_until:
-            self._kept_entries = 0
+        if now >= self._restored_until:
+            self._restored_entries = 0
 
     @property
     def next_release(self) -> float | None:
-        """Latest time of the first acknowledgement; None if none waits."""
-        return self._waiting[0].until if self._waiting else None
+        """Latest time of the first pending acknowledgement; None if none."""
+        return self._pending_acks[0].until if self._pending_acks else None
 
     @property
     def held(self) -> int:
-        """How many acknowledgements wait."""
-        return len(self._waiting)
+        """Number of pending acknowledgements."""
+        return len(self._pending_acks)
 
     @property
     def entries_seen(self) -> int:
-        """How many entries were heard lately, gone ones included."""
-        return max(len(self._entries_seen), self._kept_entries)
+        """Number of entries linked recently, including those gone since."""
+        return max(len(self._entries_seen), self._restored_entries)
 
     def entries(self) -> list[Subscribe]:
-        """Returns the entries that are linked."""
+        """Returns the linked entries."""
         rows = self._rows.values()
-        return [one.subscribe for one in rows if one.is_entry]
+        return [
+            subscriber.subscribe for subscriber in rows if subscriber.is_entry
+        ]
 
     def ready(self) -> list[Subscribe]:
         """Returns the linked entries that take requests."""
-        return [one for one in self.entries() if one.ready]
+        return [entry for entry in self.entries() if entry.ready]
 
     def ready_in_turn(self) -> list[Subscribe]:
-        """Returns the linked entries that take requests.
+        """Returns the linked entries that take requests, in rotating order.
 
-        Each time another one comes first: an answer may name a part only, and
-        the last entries would otherwise never get a caller.
+        An answer to a caller may contain only the first ones; in a fixed order
+        the last entries would never get a caller.
         """
         entries = self.ready()
         if not entries:
             return []
-        self._turn = (self._turn + 1) % len(entries)
-        return entries[self._turn :] + entries[: self._turn]
+        self._offset = (self._offset + 1) % len(entries)
+        return entries[self._offset :] + entries[: self._offset]
--- a/greengagemoor/feed/suspects.py
+++ b/greengagemoor/feed/suspects.py
@@ -1,4 +1,4 @@
-"""Requests under which searchers have ended, as many processes saw it."""
+"""Requests during which searchers terminated, merged over processes."""
 
 from __future__ import annotations
 
@@ -14,77 +14,77 @@
 
     from greengagemoor.feed.messages import SearcherKey
 
-SUSPECT_ENDS = 3
-"""Searchers that end under a request before it is suspected. One or two end
-under any request by chance; each further one costs callers a copy of a shard
-for some seconds."""
-MOST_FAILED = 2
-"""Trials that end their searchers before a request is quarantined, where each
-may have had another cause."""
+SUSPECT_THRESHOLD = 3
+"""Terminated searchers that make a request suspect. One or two may terminate
+during any request by chance; each further one costs callers a replica of a
+shard for some seconds."""
+QUARANTINE_THRESHOLD = 2
+"""Trials with a terminated searcher that quarantine a request, where each
+termination may have had another cause."""
 
 
 class Standing(enum.Enum):
-    """What is thought of a request."""
+    """Classification of a request."""
 
     WATCHED = "watched"
     SUSPECT = "suspect"
     QUARANTINED = "quarantined"
 
 
-MOST_ROWS = {
+MAX_ROWS = {
     Standing.WATCHED: 2048,
     Standing.SUSPECT: 1024,
     Standing.QUARANTINED: 4096,
 }
-"""Rows kept, some 300 bytes each. A crash of many searchers makes thousands of
-innocent requests watched for a moment; they take no room of those that are
-quarantined."""
+"""Most rows per standing, at some 300 bytes each. A crash of many searchers
+briefly makes thousands of harmless requests watched; these take no space from
+the quarantined ones."""
 
 
 def standing_of(row: Suspect) -> Standing:
-    """Returns what a row says."""
-    if row.sure or len(row.failed) >= MOST_FAILED:
+    """Returns the standing that follows from a row."""
+    if row.sure or len(row.failed) >= QUARANTINE_THRESHOLD:
         return Standing.QUARANTINED
-    if len(row.ended) >= SUSPECT_ENDS:
+    if len(row.ended) >= SUSPECT_THRESHOLD:
         return Standing.SUSPECT
     return Standing.WATCHED
 
 
 def join(one: Suspect, other: Suspect) -> Suspect:
-    """Returns what both rows say of a request together.
+    """Merges two rows of one request.
 
-    The order of joining doesn't matter and neither does joining twice, so
-    rows may go any way, late and repeated, without anybody agreeing. A row
-    that was cleared more often makes what is known from before it void.
+    The merge is commutative, associative and idempotent, so rows may arrive
+    by any path, late and repeatedly, and processes need no agreement. A row of
+    a higher epoch supersedes those from before the request was cleared.
     """
     if one.epoch != other.epoch:
         return one if one.epoch > other.epoch else other
     return attrs.evolve(
         one,
-        ended=_first(SUSPECT_ENDS, one.ended, other.ended),
-        failed=_first(MOST_FAILED, one.failed, other.failed),
+        ended=_bounded_union(SUSPECT_THRESHOLD, one.ended, other.ended),
+        failed=_bounded_union(QUARANTINE_THRESHOLD, one.failed, other.failed),
         sure=one.sure or other.sure,
         route=max(one.route, other.route),
     )
 
 
-def _first(
-    most: int, one: Iterable[SearcherKey], other: Iterable[SearcherKey]
+def _bounded_union(
+    limit: int, one: Iterable[SearcherKey], other: Iterable[SearcherKey]
 ) -> tuple[SearcherKey, ...]:
-    """Returns the first few of all in a fixed order, each once."""
+    """Returns the first ``limit`` keys of the union, in a fixed order."""
     union = {*one, *other}
-    return tuple(sorted(union, key=lambda k: (k.searcher_id, k.start))[:most])
+    return tuple(sorted(union, key=lambda k: (k.searcher_id, k.start))[:limit])
 
 
 class SuspectTable:
-    """Rows by fingerprint, bounded for each standing.
+    """Rows by fingerprint, bounded per standing.
 
-    Where a standing has no room left, the row that has been there longest
-    leaves; of the quarantined the newest isn't taken in, so that nobody can
-    push one out by bringing others.
+    If a standing is full, its oldest row is evicted. If the quarantine is full,
+    new rows are rejected instead, so that a flood of requests cannot evict a
+    quarantined one.
 
     Attributes:
-        changes: how often a row has changed; 0 while nothing ever ended.
+        changes: number of changes of rows; 0 while no searcher has terminated.
     """
 
     def __init__(self):
@@ -97,12 +97,12 @@
         return sum(len(rows) for rows in self._rows.values())
 
     def get(self, fingerprint: bytes) -> Suspect | None:
-        """Returns the row of a request, None if it has none."""
+        """Returns the row of a request; None if it has none."""
         found = (rows.get(fingerprint) for rows in self._rows.values())
         return next((row for row in found if row is not None), None)
 
     def standing(self, fingerprint: bytes) -> Standing:
-        """Returns what is thought of a request."""
+        """Returns the standing of a request."""
         if not self.changes:
             return Standing.WATCHED
         for standing, rows in self._rows.items():
@@ -111,7 +111,11 @@
         return Standing.WATCHED
 
     def join(self, row: Suspect) -> Suspect | None:
-        """Takes in a row; returns what is known now if that is news."""
+        """Merges a row.
+
+        Returns:
+            The resulting row; None if nothing changed or there is no room.
+        """
         known = self.get(row.fingerprint)
         joined = row if known is None else join(known, row)
         if joined == known:
@@ -126,7 +130,7 @@
 
     def _has_room(self, standing: Standing, fingerprint: bytes) -> bool:
         rows = self._rows[standing]
-        if fingerprint in rows or len(rows) < MOST_ROWS[standing]:
+        if fingerprint in rows or len(rows) < MAX_ROWS[standing]:
             return True
         if standing is Standing.QUARANTINED:
             return False
@@ -134,12 +138,12 @@
         return True
 
     def drop(self, fingerprint: bytes) -> None:
-        """Forgets a row that nobody else has heard of."""
+        """Removes a row that no other process has received."""
         for rows in self._rows.values():
             rows.pop(fingerprint, None)
 
     def rows(self, *standings: Standing) -> tuple[Suspect, ...]:
-        """Returns all rows of some standings."""
+        """Returns all rows of the given standings."""
         return tuple(
             row
             for standing in standings
@@ -147,7 +151,7 @@
         )
 
     def counts(self) -> dict[str, float]:
-        """Returns how many rows there are, for metrics."""
+        """Returns the number of rows per standing, for metrics."""
         return {
             f"requests_{standing.value}": len(rows)
             for standing, rows in self._rows.items()
@@ -155,7 +159,7 @@
 
 
 def cleared(row: Suspect) -> Suspect:
-    """Returns the row of a request after it was cleared."""
+    """Returns the row of a request after clearing it."""
     return attrs.evolve(
         row, epoch=row.epoch + 1, ended=(), failed=(), sure=False
     )
--- a/greengagemoor/feed/timing.py
+++ b/greengagemoor/feed/timing.py
@@ -10,7 +10,7 @@
     """Intervals in seconds.
 
     Attributes:
-        announce: how often searchers announce themselves.
+        announce: interval at which searchers announce themselves.
     """
 
     announce: float
--- a/greengagemoor/feed/view.py
+++ b/greengagemoor/feed/view.py
@@ -1,4 +1,4 @@
-"""Entry side of the feed: merges what the control instances say."""
+"""Entry side of the feed: merges the messages of the control instances."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
     from greengagemoor.control.evacuations import Evacuation
 
-FETCH_AGAIN_S = 0.5
+FETCH_RETRY_S = 0.5
 REPORT_EVERY_S = 0.1
-HELPERS_EVERY_S = 3.0
-KEPT_LEVEL = 1
-"""Compression of the document that is kept for the next difference."""
+HELPERS_INTERVAL_S = 3.0
+BASE_COMPRESSION_LEVEL = 1
+"""Compression level of the document kept as the base of differences."""
 SETTLE_S = 0.4
-"""How long a starting entry waits for control instances that don't answer,
-after one has confirmed the document."""
+"""How long a starting entry waits for silent control instances once the
+document is confirmed."""
 
 
 @attrs.define(eq=False, repr=False)
@@ -42,15 +42,15 @@
 @attrs.define(eq=False, repr=False)
 class _Fetch:
     source: str
-    again_at: float
+    retry_at: float
 
 
 class View:
-    """Searchers and document as this entry knows them.
+    """Searchers and document as known to this entry.
 
-    A searcher's row with the highest sequence wins, whoever told it. An ended
-    start stays ended: a row that says ready with a lower sequence was held up
-    on its way.
+    The row of a searcher with the highest sequence takes precedence,
+    whichever control instance sent it. An incarnation that has ended stays
+    ended: a ready row of it that arrives later was delayed.
     """
 
     def __init__(
@@ -61,15 +61,15 @@
         suspects: SuspectTable | None = None,
         peer_address: str = "",
     ):
-        """Starts knowing nothing.
+        """Creates a view without searchers and document.
 
         Args:
-            name: this instance.
-            address: where callers reach it.
-            data_centre: where it stands.
-            suspects: what this entry knows of requests under which searchers
-                have ended; it is only read here.
-            peer_address: where other entries reach it, '' if none may.
+            name: name of this instance.
+            address: its address for callers.
+            data_centre: its data centre.
+            suspects: suspect requests known to this entry; only read here.
+            peer_address: its address for other entries; '' if they may not
+                connect.
         """
         self._suspects = SuspectTable() if suspects is None else suspects
         self.me = m.Subscribe(
@@ -77,13 +77,13 @@
         )
         self.number = 0
         self._packed = b""
-        self._wants_whole = False
+        self._needs_whole = False
         self._evacuations = EvacuationView()
         self._reads = Reads()
         self.entries = 1
         self.peers: tuple[str, ...] = ()
         self.leaving = False
-        self._confirmed = 0
+        self._confirmed_number = 0
         self._confirmed_at: float | None = None
         self._sources: dict[str, _Source] = {}
         self._rows: dict[str, m.SearcherRow] = {}
@@ -99,41 +99,40 @@
         """Runs one tick.
 
         Args:
-            now: seconds of a clock that doesn't go back.
+            now: seconds of a monotonic clock.
             msgs: ``LinkUp``, ``LinkDown``, ``Received``, ``SlowSeen``,
                 ``SuspectsSeen``.
 
         Returns:
             ``Send``, ``SearcherLearnt``, ``SlowSearchers``, ``SuspectsLearnt``,
             ``EvacuationsLearnt``, ``HelpersLearnt``, ``DocumentLearnt``,
-            ``DifferenceRefused``,
-            ``ReadyChanged``.
+            ``DifferenceRefused``, ``ReadyChanged``.
         """
         self._now = now
         self._out = []
         for msg in msgs:
-            self._take(msg)
-        self._drive_report()
-        self._drive_fetch()
-        self._drive_read()
-        self._drive_ready()
-        self._drive_helpers()
+            self._handle(msg)
+        self._report_slow_searchers()
+        self._fetch_document()
+        self._confirm_document()
+        self._update_ready()
+        self._request_helpers()
         return self._out
 
     def next_wake(self) -> float:
-        """Returns when a tick is due although no message came."""
+        """Returns when the next tick is due if no message arrives."""
         times = [self._now + SETTLE_S]
         if self._fetch is not None:
-            times.append(self._fetch.again_at)
+            times.append(self._fetch.retry_at)
         if self._confirmed_at is None:
             times.append(self._reads.at)
         return min(times)
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether a quorum has confirmed the document since the start."""
+        """Whether a quorum has confirmed the document since this start."""
         return self._confirmed_at is not None and (
-            0 < self.number >= self._confirmed
+            0 < self.number >= self._confirmed_number
         )
 
     @property
@@ -142,75 +141,77 @@
         return tuple(self._sources)
 
     def leave(self) -> None:
-        """Takes this entry out of what callers are given."""
+        """Stops this entry from being listed to callers."""
         self.leaving = True
 
-    def _take(self, msg: object) -> None:
+    def _handle(self, msg: object) -> None:
         if isinstance(msg, m.LinkUp):
             self._sources[msg.name] = _Source()
             self._out.append(Send(msg.name, self.me))
-            # It may have lost all it knew.
+            # The control instance may have lost its disk.
             self._out += spread.tell(self._suspects, msg.name)
         elif isinstance(msg, m.LinkDown):
             self._sources.pop(msg.name, None)
         elif isinstance(msg, m.SlowSeen):
             self._slow_seen.add(msg.searcher)
         elif isinstance(msg, m.SuspectsSeen):
-            # To all, and each tells on: whichever is cut off, it gets through.
-            told = m.SuspectRows(msg.rows)
-            self._out += [Send(name, told) for name in self._sources]
+            # All control instances forward the rows, so one reachable instance
+            # is sufficient.
+            message = m.SuspectRows(msg.rows)
+            self._out += [Send(name, message) for name in self._sources]
         elif isinstance(msg, Received):
-            self._take_payload(msg.sender, msg.payload)
+            self._handle_payload(msg.sender, msg.payload)
 
-    def _take_payload(self, sender: str, payload: object) -> None:
+    def _handle_payload(self, sender: str, payload: object) -> None:
         source = self._sources.setdefault(sender, _Source())
         if isinstance(payload, m.SearcherRows):
             source.whole = source.whole or payload.whole
             for row in payload.rows:
-                self._merge(row)
+                self._merge_row(row)
             self._out.append(Send(sender, m.RowsTaken(payload.number)))
         elif isinstance(payload, m.DocumentNumber):
             source.document = max(source.document, payload.number)
             self._reads.hurry(self._now)
         elif isinstance(payload, m.NumberedDocument):
-            self._take_numbered(sender, payload)
+            self._handle_document(sender, payload)
         elif isinstance(payload, m.SlowSearchers):
             self._out.append(payload)
         elif isinstance(payload, m.SuspectRows):
             self._out.append(m.SuspectsLearnt(payload.rows))
         elif isinstance(payload, m.Evacuations):
-            self._take_evacuations(payload.rows)
+            self._merge_evacuations(payload.rows)
         elif isinstance(payload, m.Helpers):
-            self._take_helpers(payload.helpers)
+            self._update_helpers(payload.helpers)
         elif isinstance(payload, m.KnownPeers):
             source.peers = payload.addresses
-            self._take_peers()
+            self._update_peers()
             self.entries = max(self.entries, payload.entries)
         elif isinstance(payload, OpReply):
-            self._take_read(payload)
+            self._handle_read_reply(payload)
 
-    def _take_evacuations(self, rows: tuple[Evacuation, ...]) -> None:
-        news = self._evacuations.take(rows)
-        if news:
-            self._out.append(m.EvacuationsLearnt(news))
+    def _merge_evacuations(self, rows: tuple[Evacuation, ...]) -> None:
+        changed = self._evacuations.take(rows)
+        if changed:
+            self._out.append(m.EvacuationsLearnt(changed))
 
-    def _take_helpers(self, helpers: tuple[m.Helper, ...]) -> None:
+    def _update_helpers(self, helpers: tuple[m.Helper, ...]) -> None:
         if helpers != self._helpers:
             self._helpers = helpers
             self._out.append(m.HelpersLearnt(helpers))
 
-    def _take_peers(self) -> None:
-        """Keeps those whom any linked control instance names.
+    def _update_peers(self) -> None:
+        """Keeps the union of the lists of all linked control instances.
 
-        One that is cut off may know an older list, so no list alone counts.
-        Where a link goes down the list stays: after a loss of power of all
-        control instances they are dialled where they were.
+        A partitioned one may have an outdated list, so no single list is
+        authoritative. If no linked instance names any, the last list is kept:
+        after a power loss of all control instances, the entry connects to
+        their previous addresses.
         """
         lists = [source.peers for source in self._sources.values()]
-        named = sorted({address for peers in lists for address in peers})
-        self.peers = tuple(named) or self.peers
+        addresses = sorted({address for peers in lists for address in peers})
+        self.peers = tuple(addresses) or self.peers
 
-    def _merge(self, row: m.SearcherRow) -> None:
+    def _merge_row(self, row: m.SearcherRow) -> None:
         known = self._rows.get(row.searcher_id)
         if row is known:
             return
@@ -221,50 +222,51 @@
         self._rows[row.searcher_id] = row
         self._out.append(m.SearcherLearnt(row))
 
-    def _take_document(self, number: int, packed: bytes) -> None:
+    def _store_document(self, number: int, packed: bytes) -> None:
         if number > self.number and packed:
             self.number = number
             self._packed = packed
-            self._wants_whole = False
+            self._needs_whole = False
             self._out.append(m.DocumentLearnt(number, packed))
         if self._fetch is not None and number >= self.number:
             self._fetch = None
 
-    def _take_numbered(self, sender: str, msg: m.NumberedDocument) -> None:
+    def _handle_document(self, sender: str, msg: m.NumberedDocument) -> None:
         packed = msg.packed
         if msg.base and msg.number > self.number:
             try:
                 packed = self._unpack_against(msg)
             except ValueError as exc:
-                # It was packed against what this entry had when it asked.
-                refused = m.DifferenceRefused(sender, msg.number, str(exc))
-                self._out.append(refused)
-                self._wants_whole = True
+                # The difference applies to the document at the time of the
+                # request, which may have been replaced since.
+                refusal = m.DifferenceRefused(sender, msg.number, str(exc))
+                self._out.append(refusal)
+                self._needs_whole = True
                 self._fetch = None
                 return
-        self._take_document(msg.number, packed)
+        self._store_document(msg.number, packed)
 
     def _unpack_against(self, msg: m.NumberedDocument) -> bytes:
         if msg.base != self.number:
-            raise ValueError("packed against another document")
+            raise ValueError("difference packed against another base document")
         text = difference.unpack(zlib.decompress(self._packed), msg.packed)
-        return zlib.compress(text, KEPT_LEVEL)
+        return zlib.compress(text, BASE_COMPRESSION_LEVEL)
 
-    def _take_read(self, reply: OpReply) -> None:
+    def _handle_read_reply(self, reply: OpReply) -> None:
         if reply.code == Code.NOT_LEADER:
             self._reads.note_leader(self._now, reply.leader)
             return
         if reply.code != Code.CURRENT:
             return
-        self._take_document(reply.version, reply.packed)
-        # Before it serves, a starting entry has to know these as well.
-        self._take_evacuations(reply.evacuations)
+        self._store_document(reply.version, reply.packed)
+        # A starting entry needs these too before it serves.
+        self._merge_evacuations(reply.evacuations)
         if self._confirmed_at is None:
             self._confirmed_at = self._now
-            self._confirmed = reply.version
+            self._confirmed_number = reply.version
 
-    def _drive_fetch(self) -> None:
-        """Fetches a newer document from one of those that have it."""
+    def _fetch_document(self) -> None:
+        """Requests a newer document from one control instance that has it."""
         holders = [
             name
             for name, source in self._sources.items()
@@ -273,45 +275,46 @@
         if not holders:
             self._fetch = None
             return
-        if self._fetch is not None and self._now < self._fetch.again_at:
+        if self._fetch is not None and self._now < self._fetch.retry_at:
             return
-        last = self._fetch.source if self._fetch is not None else ""
-        others = [name for name in holders if name != last]
+        previous = self._fetch.source if self._fetch is not None else ""
+        others = [name for name in holders if name != previous]
         source = (others or holders)[0]
-        self._fetch = _Fetch(source, self._now + FETCH_AGAIN_S)
-        known = 0 if self._wants_whole else self.number
+        self._fetch = _Fetch(source, self._now + FETCH_RETRY_S)
+        known = 0 if self._needs_whole else self.number
         self._out.append(Send(source, m.WantNumbered(known)))
 
-    def _drive_report(self) -> None:
+    def _report_slow_searchers(self) -> None:
         """Reports slow searchers, all to one control instance.
 
-        Reports of one searcher must meet in one place; any that all entries
-        are likely to choose will do.
+        All reports about a searcher must reach the same control instance; the
+        first by name is the one that all entries are likely to select.
         """
         if not self._slow_seen or self._now < self._report_at:
             return
         self._report_at = self._now + REPORT_EVERY_S
         if self._sources:
-            seen = sorted(self._slow_seen, key=lambda key: key.searcher_id)
-            report = m.SlowReport(tuple(seen))
+            searchers = sorted(self._slow_seen, key=lambda key: key.searcher_id)
+            report = m.SlowReport(tuple(searchers))
             self._out.append(Send(min(self._sources), report))
         self._slow_seen.clear()
 
-    def _drive_read(self) -> None:
+    def _confirm_document(self) -> None:
         """Asks until a quorum has confirmed which document is current.
 
-        What any control instance has is fetched already, from one of them:
-        nine answers with the whole document would go to each entry after a
-        loss of power.
+        The request names the newest document that any control instance has,
+        as it is being fetched from one of them already. Otherwise each of nine
+        control instances would send the whole document to each entry after a
+        power loss.
         """
         if self._confirmed_at is not None or not self._reads.is_due(self._now):
             return
-        told = max((s.document for s in self._sources.values()), default=0)
-        known = max(self.number, told)
+        announced = max((s.document for s in self._sources.values()), default=0)
+        known = max(self.number, announced)
         self._out += self._reads.ask(self._now, list(self._sources), known)
 
-    def _drive_ready(self) -> None:
-        ready = not self.leaving and self._is_settled()
+    def _update_ready(self) -> None:
+        ready = not self.leaving and self._can_serve()
         if ready == self.me.ready:
             return
         self.me = attrs.evolve(self.me, ready=ready)
@@ -319,26 +322,27 @@
         for name in self._sources:
             self._out.append(Send(name, self.me))
 
-    def _drive_helpers(self) -> None:
-        """Asks now and then with whom queries may be shared.
+    def _request_helpers(self) -> None:
+        """Periodically requests the entries to share queries with.
 
-        One control instance answers, not the same for all entries.
+        One control instance is asked, selected by entry name and time so that
+        the load is spread over all.
         """
         if not self.me.ready or self._now < self._helpers_at:
             return
         names = sorted(self._sources)
         if names and self.me.peer_address:
-            self._helpers_at = self._now + HELPERS_EVERY_S
-            turn = zlib.crc32(self.me.name.encode()) + int(self._now)
-            asked = names[turn % len(names)]
+            self._helpers_at = self._now + HELPERS_INTERVAL_S
+            offset = zlib.crc32(self.me.name.encode()) + int(self._now)
+            asked = names[offset % len(names)]
             self._out.append(Send(asked, m.WantHelpers()))
 
-    def _is_settled(self) -> bool:
+    def _can_serve(self) -> bool:
         if self.me.ready:
             return True
         if not self.is_confirmed:
             return False
         known = len(self.peers)
-        heard = sum(source.whole for source in self._sources.values())
+        reported = sum(source.whole for source in self._sources.values())
         waited = self._now - self._confirmed_at
-        return bool(heard) and (heard >= known or waited >= SETTLE_S)
+        return bool(reported) and (reported >= known or waited >= SETTLE_S)
--- a/tests/test_feed/helpers.py
+++ b/tests/test_feed/helpers.py
@@ -1,4 +1,4 @@
-"""A hub and a view under a fake clock, and short ways to speak to them."""
+"""A hub and a view under a fake clock, with shorthands for messages."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
     ]
 
 
-def taken(out):
-    """Returns the tokens that may be acknowledged."""
+def acknowledged(out):
+    """Returns the tokens of the announcements that may be acknowledged."""
     return [msg.token for msg in out if isinstance(msg, m.AnnouncementTaken)]
 
 
@@ -67,9 +67,9 @@
         self.now += after
         return self.view.step(self.now, msgs)
 
-    def hear(self, payload, sender="c1", **more):
+    def receive(self, payload, sender="c1", **more):
         return self.step(Received(sender, payload), **more)
 
     def confirm(self, number=1):
         reply = OpReply(1, Code.CURRENT, version=number, packed=b"doc")
-        return self.hear(reply)
+        return self.receive(reply)
--- a/tests/test_feed/test_evacuations.py
+++ b/tests/test_feed/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuations on their way from a control instance to an entry."""
+"""Transfer of evacuations from a control instance to an entry."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 ENDED = Evacuation("dc1", 2, False)
 
 
-def told(out, name="e1"):
-    """Returns the rows sent to an entry, a message each."""
+def sent_rows(out, name="e1"):
+    """Returns the rows of each message of evacuations to an entry."""
     return [
         msg.payload.rows
         for msg in out
@@ -23,42 +23,47 @@
     ]
 
 
-def learnt(out):
+def learnt_rows(out):
     return [msg.rows for msg in out if isinstance(msg, m.EvacuationsLearnt)]
 
 
 class TestHub:
     """The control side."""
 
-    def test_pushed_at_once_and_once(self):
+    def test_sent_at_once_and_only_once(self):
         bench = HubBench()
         bench.subscribe()
-        assert told(bench.step(EvacuationsAccepted((FIRST,)))) == [(FIRST,)]
-        assert told(bench.step(EvacuationsAccepted((FIRST,)))) == []
+        assert sent_rows(bench.step(EvacuationsAccepted((FIRST,)))) == [
+            (FIRST,)
+        ]
+        assert sent_rows(bench.step(EvacuationsAccepted((FIRST,)))) == []
 
-    def test_told_to_who_subscribes_later(self):
+    def test_sent_to_later_subscribers(self):
         bench = HubBench()
         bench.step(EvacuationsAccepted((FIRST,)))
-        assert told(bench.subscribe()) == [(FIRST,)]
+        assert sent_rows(bench.subscribe()) == [(FIRST,)]
 
-    def test_a_member_that_is_behind_takes_nothing_back(self):
+    def test_outdated_member_reverts_nothing(self):
         bench = HubBench()
         bench.subscribe()
         bench.step(EvacuationsAccepted((ENDED,)))
-        assert told(bench.step(EvacuationsAccepted((FIRST,)))) == []
+        assert sent_rows(bench.step(EvacuationsAccepted((FIRST,)))) == []
 
 
 class TestView:
-    """The entry's side."""
+    """The entry side."""
 
-    def test_newest_word_holds_whoever_told_it(self):
+    def test_newest_row_wins_from_any_sender(self):
         bench = ViewBench()
-        out = bench.hear(m.Evacuations((ENDED,)), sender="c2")
-        assert learnt(out) == [(ENDED,)]
-        assert learnt(bench.hear(m.Evacuations((FIRST,)), sender="c1")) == []
+        out = bench.receive(m.Evacuations((ENDED,)), sender="c2")
+        assert learnt_rows(out) == [(ENDED,)]
+        assert (
+            learnt_rows(bench.receive(m.Evacuations((FIRST,)), sender="c1"))
+            == []
+        )
 
-    def test_known_before_it_serves(self):
-        """Guards against a starting entry that sends to an evacuated place."""
+    def test_known_before_the_entry_serves(self):
+        """Guards against sends to an evacuated data centre after a start."""
         bench = ViewBench()
         reply = OpReply(
             1,
@@ -67,5 +72,5 @@
             packed=b"doc",
             evacuations=(FIRST,),
         )
-        assert learnt(bench.hear(reply)) == [(FIRST,)]
+        assert learnt_rows(bench.receive(reply)) == [(FIRST,)]
         assert bench.view.is_confirmed
--- a/tests/test_feed/test_hub.py
+++ b/tests/test_feed/test_hub.py
@@ -1,4 +1,4 @@
-"""Announcements and documents through the hub to entries."""
+"""Propagation of announcements and documents through the hub to entries."""
 
 from __future__ import annotations
 
@@ -13,36 +13,36 @@
 )
 from greengagemoor.feed import messages as m
 from greengagemoor.feed.messages import SearcherState
-from greengagemoor.feed.subscribers import HOLD_S
+from greengagemoor.feed.subscribers import MAX_ACK_DELAY_S
 from tests.test_feed.helpers import (
     ANNOUNCE_S,
     ENTRY,
     ROW,
     HubBench,
+    acknowledged,
     row,
     rows_to,
-    taken,
 )
 
 
 class TestPush:
-    """Changes reach subscribers; what is no change costs nothing."""
+    """Changes are sent to subscribers, renewals are not."""
 
     def test_all_rows_to_a_new_entry(self):
         bench = HubBench()
         bench.step(m.Announced(1, ROW))
         assert rows_to(bench.subscribe()) == [ROW]
 
-    def test_renewal_is_not_pushed(self):
+    def test_renewal_is_not_sent(self):
         bench = HubBench()
         bench.subscribe()
         bench.step(m.Announced(1, ROW))
         out = bench.step(m.Announced(2, row(sequence=2)), after=ANNOUNCE_S)
         assert not rows_to(out)
-        assert 2 in taken(out)
+        assert 2 in acknowledged(out)
 
-    def test_after_a_gap_the_new_sequence_is_pushed(self):
-        """Another control instance may have called the searcher lost."""
+    def test_new_sequence_is_sent_after_a_gap(self):
+        """Another control instance may have marked the searcher lost."""
         bench = HubBench()
         bench.subscribe()
         bench.step(m.Announced(1, ROW))
@@ -58,7 +58,7 @@
 
 
 class TestDrainAcknowledgement:
-    """A drain is acknowledged once the entries know of it."""
+    """A drain is acknowledged once the entries have received it."""
 
     def drain(self, bench):
         bench.subscribe()
@@ -70,30 +70,30 @@
 
     def test_waits_for_the_entry(self):
         bench = HubBench()
-        assert taken(self.drain(bench)) == []
-        assert taken(bench.step(Received("e1", m.RowsTaken(2)))) == [2]
+        assert acknowledged(self.drain(bench)) == []
+        assert acknowledged(bench.step(Received("e1", m.RowsTaken(2)))) == [2]
 
     def test_entry_without_a_link_is_not_waited_for(self):
         bench = HubBench()
         self.drain(bench)
-        assert taken(bench.step(m.LinkDown("e1"))) == [2]
+        assert acknowledged(bench.step(m.LinkDown("e1"))) == [2]
 
-    def test_silent_entry_is_waited_for_a_moment(self):
+    def test_wait_for_a_silent_entry_is_bounded(self):
         bench = HubBench()
         self.drain(bench)
-        assert taken(bench.step(after=HOLD_S + 0.01)) == [2]
+        assert acknowledged(bench.step(after=MAX_ACK_DELAY_S + 0.01)) == [2]
 
 
 class TestReusedAddresses:
-    """A late word of an old start must not displace the new one.
+    """A delayed announcement must not displace a newer searcher.
 
-    Symptom: an entry sent to a start that had crashed. Sequence: an
-    announcement is held up by a cut, its sender crashes, a new start
-    announces itself at the same address, the cut heals. Cause: the last word
-    about an address was taken for the newest.
+    Guards against entries sending to a crashed searcher: its announcement is
+    delayed by a network partition, it crashes, another searcher announces
+    itself at the same address, and the partition heals. The announcement that
+    arrived last was taken for the newest.
     """
 
-    def test_late_word_changes_nothing(self):
+    def test_delayed_announcement_is_ignored(self):
         bench = HubBench()
         bench.subscribe()
         bench.step(m.Announced(1, ROW))
@@ -104,7 +104,7 @@
         ]
         out = bench.step(m.Announced(3, row(sequence=2)))
         assert not rows_to(out)
-        assert taken(out) == [3]
+        assert acknowledged(out) == [3]
 
     def test_leaving_is_final(self):
         bench = HubBench()
@@ -116,9 +116,9 @@
 
 
 class TestRestart:
-    """Rows that were kept over a restart."""
+    """Rows that are restored after a restart."""
 
-    def test_kept_rows_are_there_at_once_and_fade(self):
+    def test_restored_rows_are_sent_at_once_and_expire(self):
         first = HubBench()
         first.step(m.Announced(1, ROW))
         kept = first.hub.kept_rows()
@@ -129,13 +129,12 @@
         assert lost.state is SearcherState.LOST
 
     def test_kept_rows_stand_from_the_start_on(self):
-        """Rows that were kept are dated with the present time.
+        """Restored rows are dated with the present time.
 
-        Symptom: after a kill of everything a shard had one searcher of three
-        for half a second.
-        Sequence: an instance takes in its kept rows before its first tick.
-        Cause: it dated them with the time of the last tick, zero, and called
-        them lost in the first one.
+        Guards against marking them lost in the first tick: an instance
+        restores its rows before that tick and dated them with the time of the
+        last tick, zero. After a restart of all processes a shard then had one
+        searcher of three for half a second.
         """
         bench = HubBench()
         bench.now = 1e9
@@ -148,12 +147,12 @@
 
 
 class TestOtherInstances:
-    """Control instances know each other's rows, for entries to come.
+    """Control instances store each other's rows for later subscribers.
 
-    Symptom: after a kill of everything most gathers left shards out for a
-    second. Sequence: two of five control instances are back and form a group
-    with a third; entries subscribe and learn of two fifths of the searchers.
-    Cause: an instance kept only what it had heard itself.
+    Guards against gathers with missing shards for a second after a restart of
+    all processes: two of five control instances are back and form a group with
+    a third, and entries that subscribe get two fifths of the searchers, as an
+    instance stored only the searchers that announced themselves to it.
     """
 
     PEER = m.Subscribe("c2", "", "", ready=False)
@@ -188,43 +187,43 @@
         out = bench.step(Received("c2", self.PEER))
         assert rows_to(out, "c2") == [ROW]
 
-    def test_all_rows_are_there_after_a_restart(self):
+    def test_all_rows_are_restored_after_a_restart(self):
         kept = self.linked().hub.kept_others()
         bench = HubBench()
         bench.hub.begin_with_others(bench.now, kept.rows)
         assert rows_to(bench.subscribe()) == [self.OTHER]
 
-    def test_kept_row_that_nobody_tells_again_is_forgotten(self):
+    def test_unconfirmed_restored_row_expires(self):
         kept = self.linked().hub.kept_others()
         bench = HubBench()
         bench.hub.begin_with_others(bench.now, kept.rows)
         bench.step(after=4 * ANNOUNCE_S)
         assert rows_to(bench.subscribe()) == []
 
-    def test_is_no_entry(self):
+    def test_control_instance_is_not_counted_as_entry(self):
         bench = HubBench()
         bench.step(Received("c2", attrs.evolve(self.PEER, ready=True)))
         assert bench.subscribe()[0].payload == m.KnownPeers((), 1)
 
     def test_drain_waits_for_other_instances_too(self):
-        """One that missed it would tell a later entry that it is ready."""
+        """One that missed it would send later entries the row as ready."""
         bench = HubBench()
         bench.step(Received("c2", self.PEER))
         bench.step(m.Announced(1, ROW))
         bench.step(Received("c2", m.RowsTaken(1)))
         gone = row(sequence=2, state=SearcherState.DRAINING)
-        assert taken(bench.step(m.Announced(2, gone))) == []
-        assert taken(bench.step(Received("c2", m.RowsTaken(2)))) == [2]
+        assert acknowledged(bench.step(m.Announced(2, gone))) == []
+        assert acknowledged(bench.step(Received("c2", m.RowsTaken(2)))) == [2]
 
 
 class TestDirectory:
-    """Entries that callers are given."""
+    """Entries that are listed to callers."""
 
     def test_all_entries_get_callers(self):
-        """An answer names 64 addresses at most.
+        """Guards against entries without callers.
 
-        Symptom: 14 of 78 entries got no caller. Cause: each answer named the
-        same first 64.
+        An answer lists 64 addresses at most; when each listed the same first
+        64, 14 of 78 entries got no caller.
         """
         bench = HubBench()
         for i in range(78):
@@ -242,9 +241,9 @@
 
 
 class TestDocuments:
-    """Entries are told a number and fetch the document once."""
+    """Entries receive a number and fetch the document once."""
 
-    def test_number_is_pushed_and_text_fetched(self):
+    def test_number_is_sent_and_text_fetched(self):
         bench = HubBench()
         bench.subscribe()
         out = bench.step(NumberedAccepted(7, b"packed"))
@@ -261,9 +260,9 @@
 
 
 class TestColdAgain:
-    """A searcher may become cold again at any moment."""
+    """The warm-up of a searcher may begin again at any time."""
 
-    def test_told_at_once(self):
+    def test_new_warm_up_is_sent_at_once(self):
         bench = HubBench()
         bench.subscribe()
         bench.step(m.Announced(1, row(sequence=1)))
@@ -271,7 +270,7 @@
         out = bench.step(m.Announced(2, again), after=1.0)
         assert rows_to(out) == [again]
 
-    def test_going_on_being_cold_is_no_news(self):
+    def test_continued_warm_up_is_not_sent(self):
         bench = HubBench()
         bench.subscribe()
         bench.step(m.Announced(1, row(sequence=1, cold_left_s=3.0)))
--- a/tests/test_feed/test_new_start.py
+++ b/tests/test_feed/test_new_start.py
@@ -1,4 +1,4 @@
-"""Searchers that start again under the id they had."""
+"""Searchers that restart under the same ID."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from greengagemoor.feed import messages as m
 from greengagemoor.feed.messages import SearcherState
 from greengagemoor.feed.rows import newer
-from greengagemoor.feed.slowness import LEAST_SLICES, SLICE_S
+from greengagemoor.feed.slowness import MIN_SLICES, SLICE_S
 from greengagemoor.wire import codec
 from tests.test_feed.helpers import (
     ANNOUNCE_S,
     HubBench,
     ViewBench,
+    acknowledged,
     row,
     rows_to,
-    taken,
 )
 
 OLD = row(start=1_000, sequence=40)
@@ -26,29 +26,28 @@
 
 
 def states(bench):
-    """Returns start and state by id, as an entry that asks now gets them."""
+    """Returns start and state by ID, as sent to a new subscriber."""
     bench.step(m.LinkDown("late"))
-    told = rows_to(bench.subscribe("late"), "late")
-    return {r.searcher_id: (r.start, r.state) for r in told}
+    rows = rows_to(bench.subscribe("late"), "late")
+    return {r.searcher_id: (r.start, r.state) for r in rows}
 
 
 class TestAnnouncements:
-    """The first word of a new start counts.
+    """The first announcement of a new incarnation is accepted.
 
-    Symptom: a searcher that had started again got no request for the 18 to
-    28 s that were left. Sequence: it announces itself under its id, counting
-    from 1 again. Cause: words were ordered by that count alone, so they
-    looked late until the count passed the old one.
+    Guards against a restarted searcher that gets no requests: it counts its
+    announcements from 1 again, and they were ordered by that count alone, so
+    they were discarded for 18 to 28 s until the count passed the old one.
     """
 
-    def test_first_word_of_a_new_start_is_told(self):
+    def test_first_announcement_of_a_new_start_is_sent(self):
         bench = HubBench()
         bench.subscribe()
         bench.step(m.Announced(1, OLD))
         out = bench.step(m.Announced(2, NEW), after=0.1)
         assert rows_to(out) == [NEW]
 
-    def test_also_after_it_was_lost_or_gone(self):
+    def test_new_start_is_sent_after_the_old_one_was_lost_and_gone(self):
         bench = HubBench()
         bench.subscribe()
         bench.step(m.Announced(1, OLD))
@@ -56,23 +55,23 @@
         bench.step(m.Leaving(2, "i1", 1_000))
         assert rows_to(bench.step(m.Announced(3, NEW))) == [NEW]
 
-    def test_word_of_an_older_start_changes_nothing(self):
+    def test_announcement_of_an_older_start_is_ignored(self):
         bench = HubBench()
         bench.subscribe()
         bench.step(m.Announced(1, NEW))
         late = row(start=1_000, sequence=99, state=SearcherState.DRAINING)
         out = bench.step(m.Announced(2, late))
         assert rows_to(out) == []
-        assert taken(out) == [2]
+        assert acknowledged(out) == [2]
 
-    def test_leave_of_an_older_start_changes_nothing(self):
+    def test_leave_of_an_older_start_is_ignored(self):
         bench = HubBench()
         bench.subscribe()
         bench.step(m.Announced(1, NEW))
         bench.step(m.Leaving(2, "i1", 1_000))
         assert states(bench) == {"i1": (2_000, SearcherState.READY)}
 
-    def test_leave_of_a_start_that_was_never_heard_ends_it(self):
+    def test_leave_of_an_unknown_start_ends_it(self):
         bench = HubBench()
         bench.subscribe()
         bench.step(m.Announced(1, OLD))
@@ -80,13 +79,13 @@
         assert rows_to(bench.step(m.Announced(3, NEW))) == []
         assert states(bench) == {"i1": (2_000, SearcherState.GONE)}
 
-    def test_leave_that_names_no_start_ends_the_newest(self):
+    def test_leave_without_a_start_ends_the_newest(self):
         bench = HubBench()
         bench.step(m.Announced(1, NEW))
         bench.step(m.Leaving(2, "i1"))
         assert states(bench) == {"i1": (2_000, SearcherState.GONE)}
 
-    def test_leave_that_names_no_start_of_one_heard_elsewhere(self):
+    def test_leave_without_a_start_of_a_searcher_known_from_a_peer(self):
         bench = HubBench()
         bench.hub.set_peers(("10.0.0.2:1",), frozenset({"c2"}))
         bench.step(m.LinkUp("c2"))
@@ -94,7 +93,7 @@
         bench.step(m.Leaving(1, "i1"))
         assert states(bench)["i1"] == (2_000, SearcherState.GONE)
 
-    def test_kept_row_does_not_hide_a_new_start(self):
+    def test_new_start_replaces_a_restored_row(self):
         first = HubBench()
         first.step(m.Announced(1, OLD))
         bench = HubBench()
@@ -105,14 +104,14 @@
 
 
 class TestAddresses:
-    """An address that changes hands and an id that starts again."""
+    """Reuse of an address by another searcher, and restart of an ID."""
 
-    THIEF = row(searcher_id="i2", service="t", start=1_500)
+    SUCCESSOR = row(searcher_id="i2", service="t", start=1_500)
 
-    def test_address_is_taken_then_the_id_starts_elsewhere(self):
+    def test_address_is_reused_then_the_id_restarts_elsewhere(self):
         bench = HubBench()
         bench.step(m.Announced(1, OLD))
-        bench.step(m.Announced(2, self.THIEF))
+        bench.step(m.Announced(2, self.SUCCESSOR))
         bench.step(
             m.Announced(3, row(start=2_000, sequence=1, address="10.0.0.7:80"))
         )
@@ -121,40 +120,40 @@
             "i2": (1_500, SearcherState.READY),
         }
 
-    def test_id_starts_elsewhere_then_the_address_is_taken(self):
-        """Symptom: a ready searcher got no request any more.
+    def test_id_restarts_elsewhere_then_the_address_is_reused(self):
+        """Guards against marking a searcher gone that has moved.
 
-        Sequence: it starts again at another address; another one announces
-        itself at the old address. Cause: the table of addresses still named
-        the first one, which was then ended as displaced.
+        It restarts at another address, and another searcher announces itself
+        at the old one. The table of addresses still named the first searcher,
+        which was marked gone and got no more requests.
         """
         bench = HubBench()
         bench.step(m.Announced(1, OLD))
         bench.step(
             m.Announced(2, row(start=2_000, sequence=1, address="10.0.0.7:80"))
         )
-        bench.step(m.Announced(3, self.THIEF))
+        bench.step(m.Announced(3, self.SUCCESSOR))
         assert states(bench) == {
             "i1": (2_000, SearcherState.READY),
             "i2": (1_500, SearcherState.READY),
         }
 
-    def test_id_starts_again_at_the_address_it_had_lost(self):
+    def test_id_restarts_at_the_address_it_had_lost(self):
         bench = HubBench()
         bench.step(m.Announced(1, OLD))
-        bench.step(m.Announced(2, self.THIEF))
+        bench.step(m.Announced(2, self.SUCCESSOR))
         bench.step(m.Announced(3, NEW))
         assert states(bench) == {
             "i1": (2_000, SearcherState.READY),
             "i2": (1_500, SearcherState.GONE),
         }
 
-    def test_service_that_no_document_names_ends_nobody(self):
+    def test_undefined_service_displaces_no_searcher(self):
         """Such an announcement may come from another writer."""
         bench = HubBench()
         bench.hub.set_services(frozenset({"s"}))
         bench.step(m.Announced(1, OLD))
-        bench.step(m.Announced(2, self.THIEF))
+        bench.step(m.Announced(2, self.SUCCESSOR))
         assert states(bench)["i1"] == (1_000, SearcherState.READY)
         bench.hub.set_services(frozenset({"s", "t"}))
         again = row(searcher_id="i2", service="t", start=1_500, sequence=2)
@@ -163,13 +162,13 @@
 
 
 class TestSlowness:
-    """What was found of one start says nothing of the next."""
+    """Reports about one incarnation do not count for the next."""
 
     def test_reports_of_an_older_start_do_not_count(self):
         bench = HubBench()
         bench.subscribe()
         out = []
-        for i in range(2 * LEAST_SLICES - 2):
+        for i in range(2 * MIN_SLICES - 2):
             report = m.SlowReport((m.SearcherKey("i1", 1_000 + i % 2),))
             out += bench.step(Received("e1", report), after=SLICE_S / 2)
         assert not [
@@ -178,7 +177,7 @@
             if isinstance(x, Send) and isinstance(x.payload, m.SlowSearchers)
         ]
 
-    def test_key_crosses_the_wire(self):
+    def test_key_survives_encoding(self):
         report = m.SlowReport((m.SearcherKey("i1", 1_700_000_000_123),))
         assert codec.decode(codec.encode(report), m.SlowReport) == report
 
@@ -192,16 +191,16 @@
 
 
 class TestView:
-    """Entries agree, in whatever order words reach them."""
+    """The result does not depend on the order in which rows arrive."""
 
     @pytest.mark.parametrize("order", [(0, 1), (1, 0)])
     def test_newest_start_wins_in_any_order(self, order):
         bench = ViewBench()
-        said = [OLD, NEW]
+        sent = [OLD, NEW]
         for i in order:
-            bench.hear(m.SearcherRows(1, False, (said[i],)), f"c{i}")
+            bench.receive(m.SearcherRows(1, False, (sent[i],)), f"c{i}")
         late = row(start=1_000, sequence=99)
-        out = bench.hear(m.SearcherRows(2, False, (late,)))
+        out = bench.receive(m.SearcherRows(2, False, (late,)))
         assert not [x for x in out if isinstance(x, m.SearcherLearnt)]
 
     @given(a=ROWS, b=ROWS, c=ROWS)
--- a/tests/test_feed/test_slowness.py
+++ b/tests/test_feed/test_slowness.py
@@ -6,7 +6,7 @@
 from greengagemoor.feed import messages as m
 from greengagemoor.feed.slowness import (
     FIRST_AVOID_S,
-    LONGEST_AVOID_S,
+    MAX_AVOID_S,
     SlowTable,
 )
 from tests.test_feed.helpers import HubBench, ViewBench
@@ -14,42 +14,42 @@
 KEY = m.SearcherKey("i1")
 
 
-def told(table, *times):
-    """Returns what the table said to reports at these times."""
+def note_at(table, *times):
+    """Returns the results of reports at the given times."""
     return [table.note(at, KEY) for at in times]
 
 
 class TestSlowTable:
-    """Reports over some time, not at one moment."""
+    """Only reports spread over time make a searcher slow."""
 
-    def test_pause_is_not_slowness(self):
-        """A pause makes several sends late at the same moment."""
+    def test_pause_does_not_count(self):
+        """A pause delays several sends at the same time."""
         times = [1.0 + 0.05 * i for i in range(12)]
-        assert told(SlowTable(), *times, 2.1) == [None] * 13
+        assert note_at(SlowTable(), *times, 2.1) == [None] * 13
 
-    def test_reports_over_time_are(self):
+    def test_reports_over_time_count(self):
         times = [1.1 + 0.2 * i for i in range(5)]
-        assert told(SlowTable(), *times) == [None] * 4 + [FIRST_AVOID_S]
+        assert note_at(SlowTable(), *times) == [None] * 4 + [FIRST_AVOID_S]
 
     def test_old_reports_do_not_count(self):
         times = [1.1, 1.3, 1.5, 1.7, 5.1, 5.3, 5.5, 5.7]
-        assert told(SlowTable(), *times) == [None] * 8
+        assert note_at(SlowTable(), *times) == [None] * 8
 
-    def test_slow_again_is_avoided_longer_up_to_a_bound(self):
+    def test_relapse_is_avoided_longer_up_to_a_bound(self):
         table = SlowTable()
         now, spans = 0.0, []
         for _ in range(4):
-            *_, span = told(table, *(now + 0.1 + 0.2 * i for i in range(5)))
+            *_, span = note_at(table, *(now + 0.1 + 0.2 * i for i in range(5)))
             spans.append(span)
             now = round(now + 1.0 + span, 1)
-        assert spans == [2.0, 4.0, LONGEST_AVOID_S, LONGEST_AVOID_S]
+        assert spans == [2.0, 4.0, MAX_AVOID_S, MAX_AVOID_S]
 
 
-class TestWay:
-    """From one entry's late answers to what all entries avoid."""
+class TestPropagation:
+    """From the late answers at one entry to all entries."""
 
-    def test_entry_reports_and_hub_tells_all(self):
-        """Symptom: each of 78 entries found a slow searcher by itself."""
+    def test_entry_reports_and_hub_notifies_all(self):
+        """Guards against each of 78 entries detecting a slow searcher alone."""
         view = ViewBench()
         view.step(m.LinkUp("c1"))
         sent = []
--- a/tests/test_feed/test_suspects.py
+++ b/tests/test_feed/test_suspects.py
@@ -1,4 +1,4 @@
-"""What several processes know of requests under which searchers ended."""
+"""Merging and distribution of requests during which searchers terminated."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     SuspectRows,
 )
 from greengagemoor.feed.suspects import (
-    MOST_ROWS,
+    MAX_ROWS,
     Standing,
     SuspectTable,
     cleared,
@@ -36,7 +36,7 @@
     st.just(b"f"),
     epoch=st.integers(0, 2),
     ended=SOME_KEYS,
-    failed=SOME_KEYS.map(lambda keys: keys[: suspects.MOST_FAILED]),
+    failed=SOME_KEYS.map(lambda keys: keys[: suspects.QUARANTINE_THRESHOLD]),
     sure=st.booleans(),
     route=st.just("r"),
 )
@@ -47,7 +47,7 @@
     return Suspect(fingerprint, ended=keys, **more)
 
 
-def numbered(start, number, *names, **more):
+def ended_series(start, number, *names, **more):
     return [
         ended(*names, fingerprint=i.to_bytes(8, "big"), **more)
         for i in range(start, start + number)
@@ -55,7 +55,7 @@
 
 
 def sent(out, name):
-    """Returns the rows that one process is told."""
+    """Returns the rows sent to one process."""
     return [
         row
         for msg in out
@@ -67,7 +67,7 @@
 
 
 class TestJoin:
-    """Rows may be joined in any order, and again."""
+    """Rows may be merged in any order and repeatedly."""
 
     @given(ROWS, ROWS, ROWS)
     def test_order_does_not_matter(self, one, two, three):
@@ -76,7 +76,7 @@
         assert join(join(one, two), two) == join(one, two)
 
     @given(ROWS, ROWS)
-    def test_nothing_is_lost_but_by_clearing(self, one, two):
+    def test_only_clearing_removes_terminations(self, one, two):
         joined = join(one, two)
         if one.epoch == two.epoch:
             least = min(3, len({*one.ended, *two.ended}))
@@ -91,10 +91,10 @@
 
 
 class TestTable:
-    """Standing, and bounds under a flood."""
+    """Standing of requests, and bounds of the table."""
 
-    def test_each_start_counts_once(self):
-        """Nine entries see the same searcher end."""
+    def test_each_incarnation_counts_once(self):
+        """Nine entries report the termination of the same searcher."""
         table = SuspectTable()
         for _ in range(9):
             table.join(ended("a"))
@@ -103,8 +103,8 @@
         table.join(ended("c"))
         assert table.standing(b"f") is Standing.SUSPECT
 
-    def test_a_searcher_that_starts_again_counts_again(self):
-        """It may start again under the id that it had."""
+    def test_restarted_searcher_counts_again(self):
+        """It may restart under the same ID."""
         table = SuspectTable()
         for start in range(3):
             key = SearcherKey("a", start)
@@ -112,22 +112,22 @@
         assert table.standing(b"f") is Standing.SUSPECT
 
     def test_flood_of_watched_requests(self):
-        """A fleet-wide crash makes thousands of innocent ones watched."""
+        """A fleet-wide crash makes thousands of harmless requests watched."""
         table = SuspectTable()
         key = (SearcherKey("a"),)
         table.join(ended("a", "b", "c", failed=key, sure=True))
         table.join(ended("a", "b", "c", fingerprint=b"g"))
-        for row in numbered(0, 3 * MOST_ROWS[Standing.WATCHED], "a"):
+        for row in ended_series(0, 3 * MAX_ROWS[Standing.WATCHED], "a"):
             table.join(row)
-        assert len(table) == MOST_ROWS[Standing.WATCHED] + 2
+        assert len(table) == MAX_ROWS[Standing.WATCHED] + 2
         assert table.standing(b"f") is Standing.QUARANTINED
         assert table.standing(b"g") is Standing.SUSPECT
 
-    def test_flood_of_requests_that_end_searchers(self):
-        """Nobody can push one out by bringing others."""
+    def test_flood_of_quarantined_requests(self):
+        """New rows must not evict a quarantined one."""
         table = SuspectTable()
-        most = MOST_ROWS[Standing.QUARANTINED]
-        for row in numbered(
+        most = MAX_ROWS[Standing.QUARANTINED]
+        for row in ended_series(
             0, most + 9, "a", failed=(SearcherKey("a"),), sure=True
         ):
             table.join(row)
@@ -137,9 +137,9 @@
 
 
 class TestSpread:
-    """From entries over control instances to all."""
+    """From entries through control instances to all."""
 
-    def test_ends_seen_by_several_entries_are_added_up(self):
+    def test_terminations_reported_by_several_entries_add_up(self):
         bench = HubBench()
         bench.subscribe("e1")
         bench.subscribe("e2")
@@ -159,8 +159,8 @@
         assert not sent(out, "e1")
         assert sent(out, "c2")
 
-    def test_what_is_known_is_told_before_the_searchers(self):
-        """An entry that starts serves once it knows the searchers."""
+    def test_suspects_are_sent_before_the_searchers(self):
+        """A starting entry serves as soon as it has the searchers."""
         bench = HubBench()
         bench.step(Received("e1", SuspectRows((ended("a", "b", "c"),))))
         out = bench.subscribe("e2")
@@ -168,25 +168,25 @@
         kinds = [type(msg.payload).__name__ for msg in out]
         assert kinds.index("SuspectRows") < kinds.index("SearcherRows")
 
-    def test_entry_tells_an_instance_that_lost_its_disk(self):
+    def test_entry_sends_rows_to_an_instance_that_lost_its_disk(self):
         bench = ViewBench()
         bench.view._suspects.join(ended("a", "b", "c"))
         out = bench.step(LinkUp("c2"))
         assert sent(out, "c2")
 
-    def test_operator_clears(self):
+    def test_operator_clears_a_request(self):
         bench = HubBench()
         bench.subscribe("e1")
         row = ended("a", "b", "c", failed=(SearcherKey("a"),), sure=True)
         bench.step(Received("e2", SuspectRows((row,))))
         out = bench.step(ClearSuspect(b"f"))
-        (told,) = sent(out, "e1")
-        assert told.epoch == 1
-        assert not told.failed
+        (cleared_row,) = sent(out, "e1")
+        assert cleared_row.epoch == 1
+        assert not cleared_row.failed
         late = bench.step(Received("e2", SuspectRows((row,))))
         assert not sent(late, "e1")
 
-    def test_travels_whole(self):
+    def test_rows_survive_encoding(self):
         rows = SuspectRows(
             (ended("a", failed=(SearcherKey("b", 7),), sure=True),)
         )
@@ -195,10 +195,10 @@
         assert codec.from_batch(data) == [rows]
 
 
-class TestKept:
-    """A restart of a control instance."""
+class TestStoredRows:
+    """Rows survive a restart of a control instance."""
 
-    def test_is_kept_whole(self):
+    def test_all_rows_are_restored(self):
         bench, other = HubBench(), HubBench()
         rows = (ended("a"), ended("a", "b", "c", fingerprint=b"g"))
         bench.step(Received("e1", SuspectRows(rows)))
