--- a/greengagemoor/feed/messages.py
+++ b/greengagemoor/feed/messages.py
@@ -256,7 +256,7 @@
 
 @values.frozen
 class StandingChanged:
-    """The standing of a request changed here."""
+    """A request became suspect, quarantined or cleared here."""
 
     row: Suspect
 
@@ -345,7 +345,7 @@
 
 @values.frozen
 class DifferenceRefused:
-    """A difference could not be applied; the entry requests the whole text."""
+    """Rejects a difference; the entry requests the whole document."""
 
     source: str
     number: int
