--- a/greengagemoor/forward/entrydecider.py
+++ b/greengagemoor/forward/entrydecider.py
@@ -1,4 +1,4 @@
-"""All decisions of one entry: what it knows, and what it sends."""
+"""Combines the fleet view, the forward decider and trial claims."""
 
 from __future__ import annotations
 
@@ -30,24 +30,25 @@
     TrialDecided,
 )
 _FOR_CLAIMS = (TrialWanted, TrialUnused)
-_SEEN = (feed.SlowSeen, feed.SuspectsSeen)
-_INNER = _FOR_CLAIMS + _SEEN
+_OBSERVATIONS = (feed.SlowSeen, feed.SuspectsSeen)
+_INTERNAL = _FOR_CLAIMS + _OBSERVATIONS
 
 
 class EntryDecider:
-    """Puts the view of the fleet and the forward decider together.
+    """Runs the fleet view, the forward decider and trial claims of an entry.
 
-    What control tells goes through the view to the forward decider in the
-    same tick, and what that sees of searchers goes back the same way.
+    Updates of control instances pass through the view to the forward decider
+    within one tick. The decider's observations of searchers go back to the
+    view in the same tick.
     """
 
     def __init__(
         self, me: feed.Subscribe, rng: random.Random, policy: Policy | None
     ):
-        """Starts knowing nothing.
+        """Starts with an empty view.
 
         Args:
-            me: this entry, its address and data centre.
+            me: name, address and data centre of this entry.
             rng: seeded source.
             policy: limits, or None for the defaults.
         """
@@ -66,17 +67,17 @@
             msgs: messages of ``View`` and ``ForwardDecider``.
 
         Returns:
-            What both say, in order.
+            Output messages of both, in order.
         """
         feed_msgs, forward_msgs = [], []
         for msg in msgs:
-            mine = feed_msgs if isinstance(msg, _FOR_VIEW) else forward_msgs
-            mine.append(msg)
+            queue = feed_msgs if isinstance(msg, _FOR_VIEW) else forward_msgs
+            queue.append(msg)
         out = self._step_view(now, feed_msgs)
         out += self._step_claims(now, filter(_is_reply, feed_msgs))
         self.forward.tables.takes_parts = self.view.me.ready
-        learnt = [msg for msg in out if isinstance(msg, _FOR_FORWARD)]
-        return out + self._step_forward(now, learnt + forward_msgs)
+        updates = [msg for msg in out if isinstance(msg, _FOR_FORWARD)]
+        return out + self._step_forward(now, updates + forward_msgs)
 
     def _step_view(self, now: float, msgs: list) -> list:
         due = now >= self.view.next_wake() or self.view.leaving
@@ -87,16 +88,16 @@
         return out
 
     def _step_forward(self, now: float, msgs: list) -> list:
-        said = self.forward.step(now, msgs)
-        inner = [msg for msg in said if isinstance(msg, _INNER)]
-        if not inner:
-            return said
-        wanted = [msg for msg in inner if isinstance(msg, _FOR_CLAIMS)]
-        seen = [msg for msg in inner if isinstance(msg, _SEEN)]
-        said += self._step_claims(now, wanted)
-        if seen:
-            said += self.view.step(now, seen)
-        return said
+        out = self.forward.step(now, msgs)
+        internal = [msg for msg in out if isinstance(msg, _INTERNAL)]
+        if not internal:
+            return out
+        claim_msgs = [msg for msg in internal if isinstance(msg, _FOR_CLAIMS)]
+        observed = [msg for msg in internal if isinstance(msg, _OBSERVATIONS)]
+        out += self._step_claims(now, claim_msgs)
+        if observed:
+            out += self.view.step(now, observed)
+        return out
 
     def _step_claims(self, now: float, msgs: Iterable[object]) -> list:
         msgs = [*msgs]
@@ -105,7 +106,7 @@
         return self._claims.step(now, self.view.sources, msgs)
 
     def next_wake(self) -> float:
-        """Returns when a tick is due although no message came."""
+        """Returns when a tick is due even without messages."""
         wake = self.view.next_wake()
         for other in (self.forward.next_wake(), self._claims.next_wake()):
             if other is not None and other < wake:
--- a/greengagemoor/forward/messages.py
+++ b/greengagemoor/forward/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the forward decider. Times are seconds of the process clock."""
+"""Messages of the forward decider; times are seconds of the process clock."""
 
 from __future__ import annotations
 
@@ -44,11 +44,11 @@
 
 
 class Outcome(enum.Enum):
-    """What became of one send.
+    """The result of one send.
 
-    ``NOT_RUN`` is the searcher's own promise. ``NOT_SENT`` is a connection
-    that never stood: nothing of the request left this process. After
-    ``BROKEN`` the request may have run.
+    ``NOT_RUN``: the searcher guarantees that it has not run the request.
+    ``NOT_SENT``: no connection was established, so nothing of the request left
+    this process. After ``BROKEN`` the request may have run.
     """
 
     ANSWERED = "answered"
@@ -59,7 +59,7 @@
 
 
 class StepKind(enum.Enum):
-    """A decision on the way of a request."""
+    """A kind of decision about a request."""
 
     SENT = "sent"
     SENT_BESIDE = "sent_beside"
@@ -73,14 +73,15 @@
 
 @values.frozen
 class Step:
-    """One decision, with what decided it.
+    """One decision, with the values that led to it.
 
     Attributes:
         after_s: seconds since the request arrived.
-        cost: expected time in medians of the route, lowest of all searchers.
-        own: sends of this entry under way at the searcher before it.
-        others: requests of others there, by its last word.
-        load_age_s: how old that word is.
+        cost: expected time of the searcher in medians of the route; the lowest
+            of all candidates.
+        own: sends of this entry in flight at the searcher before this one.
+        others: requests of other entries there, as it last reported.
+        load_age_s: age of that report in seconds.
         note: the outcome of a send that ended.
     """
 
@@ -95,7 +96,7 @@
     note: str = ""
 
 
-# In.
+# Input messages.
 
 
 @values.frozen
@@ -103,11 +104,11 @@
     """A caller's request that has a route.
 
     Attributes:
-        token: names the request until its ``Respond``.
-        patience_s: how long the caller still waits; None if it didn't say.
-        fingerprint: equal for requests that ask for the same.
-        way_s: what the caller's clock spends on the network, from its first
-            packet until the answer is there; None if it isn't known.
+        token: identifies the request until its ``Respond``.
+        patience_s: how long the caller still waits; None if not stated.
+        fingerprint: equal for requests with the same content.
+        way_s: network time that the caller's clock includes, from its first
+            packet until it has the answer; None if not known.
     """
 
     token: int
@@ -120,7 +121,7 @@
 
 @values.frozen
 class CallerGone:
-    """The caller closed its connection before its answer."""
+    """The caller closed its connection before the answer."""
 
     token: int
 
@@ -130,7 +131,7 @@
     """The answer to a gather was written to its caller.
 
     Attributes:
-        delay_s: since it was due.
+        delay_s: time since the answer was due.
     """
 
     delay_s: float
@@ -138,7 +139,7 @@
 
 @values.frozen
 class SearcherLoad:
-    """A searcher's own count of requests, at its last answer."""
+    """Request counts that a searcher reported with an answer."""
 
     running: int
     waiting: int
@@ -148,14 +149,14 @@
 
 @values.frozen
 class SearcherAnswer:
-    """A whole answer of a searcher.
+    """A complete answer of a searcher.
 
     Attributes:
         signature: proves to the caller that this searcher answered.
-        headers: to hand on unchanged.
-        is_plain: False if the body is encoded, so that it isn't the body
-            that the searcher signed.
-        closes: the searcher ends the connection, as it does when it leaves.
+        headers: forwarded unchanged.
+        is_plain: False if the body is encoded and therefore differs from the
+            body that the searcher signed.
+        closes: the searcher closes the connection, as it does on shutdown.
     """
 
     status: int
@@ -173,9 +174,9 @@
 
     Attributes:
         stale: the connection had been idle and broke before any byte of an
-            answer: the searcher had dropped it unannounced.
-        began: some of an answer had come.
-        answer: for ``ANSWERED`` and ``NOT_RUN``.
+            answer: the searcher had closed it without notice.
+        began: part of an answer had arrived.
+        answer: set for ``ANSWERED`` and ``NOT_RUN``.
     """
 
     attempt_id: int
@@ -188,10 +189,10 @@
 
 @values.frozen
 class ProbeEnded:
-    """A searcher's address was dialled.
+    """The result of a connection attempt to a searcher's address.
 
     Attributes:
-        refused: nothing listens there; the searcher has ended.
+        refused: nothing listens there, so the searcher has ended.
     """
 
     searcher: SearcherKey
@@ -200,18 +201,18 @@
 
 @values.frozen
 class TrialDecided:
-    """What the control group says of a claim to a trial."""
+    """The control group's verdict on a claim to a trial."""
 
     wanted: TrialWanted
     verdict: ClaimVerdict
 
 
-# Out.
+# Output messages.
 
 
 @values.frozen
 class ProbeSearcher:
-    """Dial this address, and close at once."""
+    """Connects to a searcher and closes at once, to see if it listens."""
 
     searcher: SearcherKey
     address: str
@@ -219,13 +220,13 @@
 
 @values.frozen
 class TrialWanted:
-    """Claim the right to try a suspect request once, for all entries.
+    """Claims the right to try a suspect request once, for all entries.
 
     Attributes:
-        epoch: of the request's row; each has trials of its own.
-        number: which of them.
-        claim: the same when it is asked again for the same try.
-        valid_for_s: the try begins within it.
+        epoch: epoch of the request's row; trials are numbered per epoch.
+        number: number of the trial.
+        claim: id of the claim, the same if it is repeated for this trial.
+        valid_for_s: time within which the trial must begin.
     """
 
     fingerprint: bytes
@@ -237,7 +238,7 @@
 
 @values.frozen
 class StartAttempt:
-    """Send the caller's request to a searcher."""
+    """Sends the caller's request to a searcher."""
 
     attempt_id: int
     token: int
@@ -249,31 +250,32 @@
 
 @values.frozen
 class CancelAttempt:
-    """Close the connection of this send; the searcher drops the request."""
+    """Closes the connection of a send; the searcher drops the request."""
 
     attempt_id: int
 
 
 @values.frozen
 class CloseIdle:
-    """Close the idle connections to this address: their process has ended."""
+    """Closes the idle connections to an address that gets no more requests."""
 
     address: str
 
 
 @values.frozen
 class TrialUnused:
-    """Give a granted claim back: nothing was sent under it."""
+    """Releases a granted claim under which nothing was sent."""
 
     wanted: TrialWanted
 
 
 @values.frozen
 class Merged:
-    """The answer to a gather.
+    """The merged answer to a gather.
 
     Attributes:
-        signatures: of the searchers whose records are in.
+        signatures: signatures of the searchers whose records are included.
+        missing: number of shards without an answer.
     """
 
     body: bytes
@@ -286,13 +288,13 @@
     """The final answer to a request.
 
     Attributes:
-        answer: a searcher's own answer, to hand on unchanged.
+        answer: a searcher's answer, forwarded unchanged.
         merged: the answer to a gather.
-        retry_after_s: when to come back; None if that doesn't apply.
+        retry_after_s: when the caller should retry; None if not applicable.
         sends: how often the request was sent.
-        steps: the decisions on its way.
-        due_at: when it was to be given; a busy process gives it later.
-        fingerprint: of the request.
+        steps: the decisions made about the request.
+        due_at: when the answer was due; a busy process gives it later.
+        fingerprint: fingerprint of the request.
     """
 
     token: int
--- a/greengagemoor/forward/tables.py
+++ b/greengagemoor/forward/tables.py
@@ -1,4 +1,4 @@
-"""Rows of the forward decider: searchers, requests, legs and attempts."""
+"""State of the forward decider: searchers, requests, legs and attempts."""
 
 from __future__ import annotations
 
@@ -27,21 +27,22 @@
     from greengagemoor.forward.trialtable import Trial
     from greengagemoor.routing.routes import Route, ServiceRules
 
-RECENT_ENDS = 64
-"""More searchers than end within the moment in which a trial is judged."""
+MAX_RECENT_ENDS = 64
+"""Items kept in ``recent_ends`` and in ``recent_suspects``: more than the
+searchers that end within the time in which a trial is judged."""
 
 
 @attrs.define(eq=False, repr=False)
 class Searcher:
-    """One start of a searcher, as this entry sees it.
+    """One incarnation of a searcher, as observed by this entry.
 
     Attributes:
-        others: requests of other entries there, at its last word; it is
-            told in logs and decides nothing.
+        others: requests of other entries at the searcher, as it last
+            reported; only logged, not used for selection.
         failing: smoothed share of sends that failed.
-        sent_at: when this entry sent to it last.
-        avoid_until: it isn't chosen before, after failures in a row.
-        slow_until: until then other entries find it slow.
+        sent_at: time of this entry's last send to it.
+        avoid_until: it is not selected before, after consecutive failures.
+        slow_until: until then other entries report it as slow.
     """
 
     searcher_id: str
@@ -67,13 +68,13 @@
 
     @property
     def key(self) -> SearcherKey:
-        """Names this start."""
+        """Identifies this incarnation."""
         return SearcherKey(self.searcher_id, self.start)
 
 
 @attrs.define(eq=False, repr=False)
 class Attempt:
-    """One send that has not ended."""
+    """One send in flight."""
 
     attempt_id: int
     leg: Leg
@@ -84,13 +85,15 @@
 
 @attrs.define(eq=False, repr=False)
 class Leg:
-    """What a request wants from one service.
+    """The part of a request that is sent to one service.
 
     Attributes:
-        runs: sends that may have run.
-        broken_by: whose connection broke last, before any byte of an answer.
-        helper: the entry that asks it, if it isn't asked from here.
-        dead: nothing more will be sent, and no send is under way.
+        runs: sends that a searcher may have run.
+        broken_by: searcher whose connection broke last before any byte of an
+            answer.
+        helper: name of the entry that queries the service; empty if this
+            entry does.
+        dead: no send is in flight and none will follow.
     """
 
     request: Request
@@ -112,41 +115,42 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether an answer may still come."""
+        """Whether an answer may still arrive."""
         return self.answer is None and not self.dead
 
     def take(self, answer: SearcherAnswer, searcher_id: str, at: float) -> None:
-        """Takes the answer that counts."""
+        """Records the final answer and who gave it."""
         self.answer = answer
         self.answered_by = searcher_id
         self.answered_at = at
         self.request.answered += 1
 
     def give_up(self) -> None:
-        """Leaves it without an answer."""
+        """Ends the leg without an answer."""
         self.dead = True
         self.request.given_up += 1
 
 
 @attrs.define(eq=False, repr=False)
 class Request:
-    """A caller's request until its answer.
+    """A request of a caller, or a part for another entry, until its answer.
 
     Attributes:
-        give_at: from then on an answer with enough shards is given at once.
-        ends_at: the last moment for an answer.
-        answered, given_up: how many legs are; counted, as with sixty shards
-            each of sixty answers would look at all of them again.
-        ended_under: searchers that seem to have ended as they ran it.
-        unproved_legs: legs that go out again once a searcher has answered.
-        is_held: nothing is sent until a trial of it has succeeded.
-        is_trial: the one send that is under way is that trial.
-        is_confirmed: whether its shards may be sent to twice; not yet where
-            another entry may still ask them itself.
+        give_at: from then on an answer with sufficient coverage is given at
+            once.
+        ends_at: deadline of the answer.
+        answered, given_up: numbers of such legs. They are counters because,
+            with 60 shards, each of 60 answers would scan all legs.
+        ended_under: searchers that seem to have ended while running it.
+        unproved_legs: legs to send again once a searcher has answered.
+        is_held: nothing is sent until a trial of the request succeeds.
+        is_trial: the only send in flight is that trial.
+        is_confirmed: whether a shard may be sent a second request; False while
+            another entry may still query the shards itself.
         is_shared: helpers were asked for some of its legs.
-        part_sends: what helpers have sent beyond the first of each leg.
-        origin: for whom this entry asks, if not for a caller.
-        is_dropped: that entry no longer waits for it.
+        part_sends: sends of helpers beyond the first of each leg.
+        origin: the entry that asked for this part; None for a caller's request.
+        is_dropped: that entry no longer waits for the part.
     """
 
     token: int
@@ -173,41 +177,42 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether any leg may still get an answer."""
+        """Whether any leg may still be answered."""
         return self.answered + self.given_up < len(self.legs)
 
     @property
     def is_unproved(self) -> bool:
-        """Whether searchers ended under it and none has answered it."""
+        """Whether searchers ended while running it and none has answered."""
         return bool(self.ended_under) and not self.answered
 
     @property
     def sends(self) -> int:
-        """How often the request was sent."""
+        """Number of sends by this entry."""
         return sum(leg.sends for leg in self.legs)
 
 
 @attrs.define(eq=False, repr=False)
 class Tables:
-    """All state of the decider and its output of a tick.
+    """All state of the decider, and its output of a tick.
 
     Attributes:
-        name: of this entry.
-        due_at: when what runs now should have run: the time of a timer that
-            may fire late, or ``now``.
+        name: name of this entry.
+        due_at: scheduled time of the timer that runs, which may fire late;
+            ``now`` while messages are processed.
         possible_ends: searchers that broke off a send and may have ended.
-        recent_ends: those that did, latest last.
-        evacuated: data centres whose searchers get nothing.
-        recent_suspects: requests that became suspect, and when.
-        link_bytes_per_s: what this entry's link carries, 0 if not known.
-        answer_bytes: of an answer with its head, usually, by route.
-        takes_parts: whether other entries may hand parts to this one.
-        helpers: other entries with a link, by name.
-        parts: what helpers were asked for and have not ended.
-        origins: what this entry asks for others, by name and part.
-        unreported: requests whose rows control has not been told, and whether
-            it knew of them before.
-        to_review: requests whose standing may have changed.
+        recent_ends: searchers that did end, latest last.
+        evacuated: data centres whose searchers receive no requests.
+        recent_suspects: time and fingerprint of requests that became suspect.
+        link_bytes_per_s: bandwidth of this entry's link, 0 if not known.
+        answer_bytes: usual size of an answer with its headers, by route.
+        takes_parts: whether this entry accepts parts of other entries.
+        helpers: other entries with a working link, by name.
+        parts: parts delegated to helpers that have not ended, by id.
+        origins: parts that this entry runs for others, by entry name and
+            part id.
+        unreported: fingerprints of rows to be reported to the control group,
+            and whether the row was known before.
+        to_review: fingerprints of requests whose standing may have changed.
     """
 
     data_centre: str
@@ -232,10 +237,10 @@
     suspects: SuspectTable = attrs.field(factory=SuspectTable)
     possible_ends: dict[SearcherKey, PossibleEnd] = attrs.field(factory=dict)
     recent_ends: deque[PossibleEnd] = attrs.field(
-        factory=lambda: deque(maxlen=RECENT_ENDS)
+        factory=lambda: deque(maxlen=MAX_RECENT_ENDS)
     )
     recent_suspects: deque[tuple[float, bytes]] = attrs.field(
-        factory=lambda: deque(maxlen=RECENT_ENDS)
+        factory=lambda: deque(maxlen=MAX_RECENT_ENDS)
     )
     evacuations: EvacuationView = attrs.field(factory=EvacuationView)
     evacuated: frozenset[str] = frozenset()
@@ -253,7 +258,7 @@
     timers: list = attrs.field(factory=list)
 
     def budget_of(self, service: str) -> SendBudget:
-        """Returns the service's budget for second sends."""
+        """Returns the service's budget for retries and hedges."""
         budget = self.budgets.get(service)
         if budget is None:
             policy = self.policy
@@ -269,20 +274,20 @@
 
     @property
     def sharers(self) -> int:
-        """The number of entries by which what all share is divided."""
+        """Number of entries among which shared limits are divided."""
         return max(self.policy.places, self.entries)
 
     def times_of(self, route: Route) -> RouteTimes:
-        """Returns what sends on the route usually take."""
+        """Returns the times of recent sends on the route."""
         times = self.times.get(route.name)
         if times is None:
-            # Objectives are some four times the usual work time.
+            # An objective is about four times the usual work time.
             times = RouteTimes(route.objective_s / 4)
             self.times[route.name] = times
         return times
 
     def times_of_parts(self, route: Route) -> RouteTimes:
-        """Returns what parts of the route's queries usually take."""
+        """Returns the times of recent delegated parts on the route."""
         times = self.part_times.get(route.name)
         if times is None:
             times = RouteTimes(route.objective_s / 2)
@@ -290,11 +295,11 @@
         return times
 
     def set_timer(self, at: float, call: Callable[[], None]) -> None:
-        """Calls ``call`` in the first tick from ``at`` on."""
+        """Schedules ``call`` for the first tick at or after ``at``."""
         heapq.heappush(self.timers, (at, next(self.ids), call))
 
     def run_timers(self) -> None:
-        """Calls what is due."""
+        """Runs the timers that are due."""
         while self.timers and self.timers[0][0] <= self.now:
             self.due_at, _, call = heapq.heappop(self.timers)
             call()
