--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -516,7 +516,7 @@
     Mutant(
         "trials: few in all",
         "forward/trials.py",
-        "    if trial.number > MOST_TRIALS:\n",
+        "    if trial.number > MAX_TRIALS:\n",
         "    if False:\n",
         (FORWARD + "test_trials.py",),
     ),
--- a/bench/mutants_of_places.py
+++ b/bench/mutants_of_places.py
@@ -106,7 +106,7 @@
     Mutant(
         "parts: second sends are spared",
         "forward/delegating.py",
-        "    return budget.share_left(tables.now) >= SPARE_SHARE",
+        "    return budget.share_left(tables.now) >= MIN_BUDGET_SHARE",
         "    return True",
         PARTS,
     ),
--- a/greengagemoor/forward/claiming.py
+++ b/greengagemoor/forward/claiming.py
@@ -1,4 +1,4 @@
-"""Turns trials that are wanted into claims on the control group's ledger."""
+"""Claims trials of suspect requests on the control group's ledger."""
 
 from __future__ import annotations
 
@@ -18,29 +18,33 @@
     import random
     from collections.abc import Iterable
 
-TRIALS = "trials of suspect requests"
-"""Stands for the client account in the ledger; no account has blanks."""
-ASK_S = 0.9
-"""Two tries to reach a leader; callers hold on for about as long."""
-GIVE_BACK_S = 5.0
-"""Nobody waits for it; a new leader stands by then."""
-FIRST_OPERATION = 1 << 32
-"""Apart from the numbers of this entry's reads of the document."""
+TRIALS_CALLER = "trials of suspect requests"
+"""Caller name of these claims in the ledger. Its blanks keep it distinct from
+all client accounts."""
+CLAIM_TIMEOUT_S = 0.9
+"""Seconds until a claim fails: enough for two attempts to reach a leader, and
+about as long as callers wait."""
+RELEASE_TIMEOUT_S = 5.0
+"""Seconds until a release fails. No request waits for it, and by then a new
+leader has been elected."""
+FIRST_OPERATION_ID = 1 << 32
+"""First operation id; keeps them distinct from those of this entry's reads of
+the document."""
 
 
 class TrialClaims:
-    """Claims under way in this process."""
+    """Claims of this process that are in progress."""
 
     def __init__(self, name: str, rng: random.Random):
         """Starts without claims.
 
         Args:
-            name: this entry.
+            name: name of this entry.
             rng: seeded source.
         """
-        # A process that starts again must not take an old claim for its own.
+        # Unique for each process: a restarted one must not reuse old claims.
         self._owner = f"{name}/{rng.getrandbits(64):x}"
-        self._client = ControlClient((), rng, FIRST_OPERATION)
+        self._client = ControlClient((), rng, FIRST_OPERATION_ID)
 
     def step(
         self, now: float, controls: Iterable[str], msgs: Iterable[object]
@@ -49,7 +53,7 @@
 
         Args:
             now: seconds.
-            controls: control instances with a link.
+            controls: control instances with a working link.
             msgs: ``TrialWanted``, ``TrialUnused``, and ``Received`` answers
                 to operations.
 
@@ -57,52 +61,52 @@
             ``Send`` and ``TrialDecided``.
         """
         self._client.targets = list(controls)
-        asked = [self._operation(now, msg) for msg in msgs]
-        said = self._client.step(now, asked)
-        out = [msg for msg in said if not isinstance(msg, Done)]
-        done = [msg for msg in said if isinstance(msg, Done)]
+        operations = [self._operation(now, msg) for msg in msgs]
+        results = self._client.step(now, operations)
+        out = [msg for msg in results if not isinstance(msg, Done)]
+        done = [msg for msg in results if isinstance(msg, Done)]
         return [*out, *map(_decided, filter(_is_claim, done))]
 
     def next_wake(self) -> float | None:
-        """Returns when a tick is due although no message came."""
+        """Returns when a tick is due even without messages."""
         return self._client.next_wake()
 
     @property
     def is_idle(self) -> bool:
-        """Whether no claim is under way."""
+        """Whether no claim is in progress."""
         return self._client.is_idle
 
     def _operation(self, now: float, msg: object) -> object:
         if isinstance(msg, TrialWanted):
             return self._claim(now, msg)
         if isinstance(msg, TrialUnused):
-            return self._give_back(now, msg.wanted)
+            return self._release(now, msg.wanted)
         return msg
 
     def _claim(self, now: float, msg: TrialWanted) -> Ask:
         command = Claim(
-            caller=TRIALS,
-            request_id=_name(msg),
+            caller=TRIALS_CALLER,
+            request_id=_trial_id(msg),
             claim_id=f"{self._owner}/{msg.claim}",
             issued_at=now,
             valid_for_s=msg.valid_for_s,
             time=now,
         )
-        return Ask(msg, OpKind.CLAIM, now + ASK_S, command)
+        return Ask(msg, OpKind.CLAIM, now + CLAIM_TIMEOUT_S, command)
 
-    def _give_back(self, now: float, msg: TrialWanted) -> Ask:
+    def _release(self, now: float, msg: TrialWanted) -> Ask:
         command = RecordOutcome(
-            caller=TRIALS,
-            request_id=_name(msg),
+            caller=TRIALS_CALLER,
+            request_id=_trial_id(msg),
             claim_id=f"{self._owner}/{msg.claim}",
             code=int(Code.NOT_RUN_LEAVING),
             outcome="",
             time=now,
         )
-        return Ask(None, OpKind.OUTCOME, now + GIVE_BACK_S, command)
+        return Ask(None, OpKind.OUTCOME, now + RELEASE_TIMEOUT_S, command)
 
 
-def _name(msg: TrialWanted) -> str:
+def _trial_id(msg: TrialWanted) -> str:
     return f"{msg.fingerprint.hex()}/{msg.epoch}/{msg.number}"
 
 
--- a/greengagemoor/forward/delegating.py
+++ b/greengagemoor/forward/delegating.py
@@ -1,9 +1,9 @@
-"""Hands parts of a query's shards to other entries.
+"""Delegates parts of a query's shards to other entries.
 
-The answers of all shards come over this entry's own link. Where that takes a
-good part of the objective, a few other entries ask most of the shards and each
-hands back the greatest records of its part in one message, so that several
-links carry what one would.
+The answers of all shards arrive over this entry's link. Where that takes a
+large share of the objective, a few other entries query most of the shards, and
+each returns the greatest records of its part in one message. The load is thus
+spread over several links.
 """
 
 from __future__ import annotations
@@ -27,47 +27,51 @@
 if TYPE_CHECKING:
     from greengagemoor.forward.tables import Leg, Request, Tables
 
-LEAST_LINK_S = 0.01
-"""A query whose answers keep the own link busy for less isn't shared: what a
-helper saves is the way to it and back, and the time it takes to read."""
-SHARDS_EACH = 14
-"""Shards that an entry asks at the most; fewer, and more helpers, make an
-answer wait for the slowest of more entries."""
-TAKEN_SHARE = 0.2
-LEAST_TAKEN_S = 0.012
-MOST_TAKEN_S = 0.04
-"""A helper that has not read its part within this share of the objective may be
-frozen or cut off; there is time to ask its shards from here."""
-SPARE_SHARE = 0.5
-"""Of the second sends of a window, what parts that are taken back leave."""
-RETURN_S = 0.006
-"""A part is told this long before it is due here: its way, and a tick."""
+MIN_SHARED_LINK_S = 0.01
+"""A query is shared if its answers occupy this entry's link for so many seconds
+or more; below that, the round trip to a helper and the time it takes to read
+the part cost as much as they save."""
+MAX_SHARDS_PER_ENTRY = 14
+"""Most shards that one entry queries. With fewer shards each, an answer waits
+for the slowest of more helpers."""
+ACK_TIMEOUT_SHARE = 0.2
+MIN_ACK_TIMEOUT_S = 0.012
+MAX_ACK_TIMEOUT_S = 0.04
+"""A helper that does not acknowledge its part within this share of the
+objective, bounded by the two times in seconds, may be frozen or unreachable;
+enough time is left to query its shards from here."""
+MIN_BUDGET_SHARE = 0.5
+"""Share of a window's retry budget that must be left before the shards of an
+unacknowledged part are queried from here."""
+RETURN_MARGIN_S = 0.006
+"""Seconds before the answer is due at which a helper returns its part: the
+network delay and one tick."""
 FIRST_AVOID_S = 1.0
 LONGEST_AVOID_S = 8.0
 REFUSED_AVOID_S = 0.5
 
 
 def hand_out(tables: Tables, request: Request) -> None:
-    """Hands most of a query's shards to helpers, where that is worth it.
+    """Delegates most of a query's shards to helpers, where that saves time.
 
-    The legs that it hands out count as sent once, as they may have run.
+    Delegated legs count as sent once, because they may have run.
     """
     legs = [leg for leg in request.legs if leg.is_open and not leg.sends]
     if not _is_worth_it(tables, request, legs):
         return
-    wanted = math.ceil(len(legs) / SHARDS_EACH) - 1
-    helpers = _choose(tables, wanted)
+    wanted = math.ceil(len(legs) / MAX_SHARDS_PER_ENTRY) - 1
+    helpers = _choose_helpers(tables, wanted)
     if not helpers:
         return
-    # Each time other shards are asked from here, so that what is learnt of
-    # searchers is learnt of all.
-    turn = tables.rng.randrange(len(legs))
-    legs = legs[turn:] + legs[:turn]
-    each = math.ceil(len(legs) / (len(helpers) + 1))
+    # A random rotation makes this entry query different shards each time, so
+    # that it collects statistics on the searchers of all shards.
+    offset = tables.rng.randrange(len(legs))
+    legs = legs[offset:] + legs[:offset]
+    part_size = math.ceil(len(legs) / (len(helpers) + 1))
     request.is_shared = True
     for number, helper in enumerate(helpers, 1):
-        group = legs[number * each : (number + 1) * each]
-        _ask(tables, request, helper, group)
+        group = legs[number * part_size : (number + 1) * part_size]
+        _send_part(tables, request, helper, group)
 
 
 def _is_worth_it(tables: Tables, request: Request, legs: list[Leg]) -> bool:
@@ -75,14 +79,14 @@
         return False
     if request.route.grade is not Grade.REPEATABLE or request.is_trial:
         return False
-    if not tables.link_bytes_per_s or len(legs) <= SHARDS_EACH:
+    if not tables.link_bytes_per_s or len(legs) <= MAX_SHARDS_PER_ENTRY:
         return False
     size = tables.answer_bytes.get(request.route.name, 0.0)
-    return len(legs) * size / tables.link_bytes_per_s >= LEAST_LINK_S
+    return len(legs) * size / tables.link_bytes_per_s >= MIN_SHARED_LINK_S
 
 
-def _choose(tables: Tables, wanted: int) -> list[Helper]:
-    """Returns the helpers that are free and quick, ties by lot."""
+def _choose_helpers(tables: Tables, wanted: int) -> list[Helper]:
+    """Returns the available helpers of lowest cost, ties broken randomly."""
     free = [h for h in tables.helpers.values() if h.avoid_until <= tables.now]
     cost = {
         h.name: h.slowness.value * (1 + h.running) + 0.3 * tables.rng.random()
@@ -91,7 +95,7 @@
     return sorted(free, key=lambda h: cost[h.name])[:wanted]
 
 
-def _ask(
+def _send_part(
     tables: Tables, request: Request, helper: Helper, legs: list[Leg]
 ) -> None:
     route = request.route
@@ -107,7 +111,7 @@
     for leg in legs:
         leg.runs = leg.sends = 1
         leg.helper = helper.name
-    ask = AskPart(
+    msg = AskPart(
         part_id=part.part_id,
         request_id=request.request_id,
         route=route.name,
@@ -116,28 +120,29 @@
         attempts=route.attempts,
         rank=route.rank,
         objective_s=route.objective_s,
-        give_in_s=request.give_at - tables.now - RETURN_S,
+        give_in_s=request.give_at - tables.now - RETURN_MARGIN_S,
         end_in_s=request.ends_at - tables.now,
         fingerprint=request.fingerprint,
     )
-    tables.out.append(ToPeer(helper.name, ask, request.token))
+    tables.out.append(ToPeer(helper.name, msg, request.token))
     after = tables.now - request.arrived_at
-    words = f"{legs[0].service} and {len(legs) - 1} more"
-    request.steps.append(Step(StepKind.SHARED, after, words, note=helper.name))
-    look = partial(_look_taken, tables, part)
-    tables.set_timer(tables.now + _taken_within(request), look)
+    shards = f"{legs[0].service} and {len(legs) - 1} more"
+    request.steps.append(Step(StepKind.SHARED, after, shards, note=helper.name))
+    check = partial(_check_acknowledged, tables, part)
+    tables.set_timer(tables.now + _ack_timeout_s(request), check)
 
 
-def _taken_within(request: Request) -> float:
-    share = TAKEN_SHARE * request.route.objective_s
-    return min(max(share, LEAST_TAKEN_S), MOST_TAKEN_S)
+def _ack_timeout_s(request: Request) -> float:
+    timeout = ACK_TIMEOUT_SHARE * request.route.objective_s
+    return min(max(timeout, MIN_ACK_TIMEOUT_S), MAX_ACK_TIMEOUT_S)
 
 
-def _look_taken(tables: Tables, part: Part) -> None:
-    """Asks the shards from here if the helper has not read its part.
+def _check_acknowledged(tables: Tables, part: Part) -> None:
+    """Queries the shards from here if the helper has not acknowledged them.
 
-    That takes a second send of each. Where many of these are used already,
-    the helper is more likely busy than gone, and its answer is waited for.
+    That counts as a second send of each shard. If much of that budget is used
+    already, the helper is more likely overloaded than gone, and this entry
+    keeps waiting for its answer.
     """
     if part.taken or part.part_id not in tables.parts:
         return
@@ -145,69 +150,70 @@
     pause = FIRST_AVOID_S * 2 ** min(helper.failures, 6)
     helper.failures += 1
     helper.avoid_until = tables.now + min(pause, LONGEST_AVOID_S)
-    if not all(_has_spare(tables, leg) for leg in part.legs.values()):
+    if not all(_has_budget(tables, leg) for leg in part.legs.values()):
         return
     request = part.request
     after = tables.now - request.arrived_at
-    words = f"{len(part.legs)} shards"
+    shards = f"{len(part.legs)} shards"
     request.steps.append(
-        Step(StepKind.TAKEN_BACK, after, words, note=helper.name)
+        Step(StepKind.TAKEN_BACK, after, shards, note=helper.name)
     )
     parts.drop(tables, part, answered=False)
-    _ask_from_here(tables, part, dict.fromkeys(part.legs, 1))
+    _query_locally(tables, part, dict.fromkeys(part.legs, 1))
 
 
-def _has_spare(tables: Tables, leg: Leg) -> bool:
+def _has_budget(tables: Tables, leg: Leg) -> bool:
     budget = tables.budget_of(leg.service)
-    return budget.share_left(tables.now) >= SPARE_SHARE
+    return budget.share_left(tables.now) >= MIN_BUDGET_SHARE
 
 
 def take_up(tables: Tables, name: str) -> None:
-    """Takes in that a link to another entry works."""
+    """Adds a helper whose link has come up."""
     tables.helpers[name] = Helper(name)
 
 
 def take_down(tables: Tables, name: str) -> None:
-    """Takes in that the link to another entry is gone."""
+    """Removes a helper whose link is down, and queries its parts' shards."""
     if tables.helpers.pop(name, None) is None:
         return
     lost = [p for p in tables.parts.values() if p.helper.name == name]
     for part in lost:
         parts.close(tables, part)
-        # Unconfirmed it has sent nothing twice.
+        # A helper sends each shard of an unconfirmed part at most once.
         runs = part.request.route.attempts if part.taken else 1
-        _ask_from_here(tables, part, dict.fromkeys(part.legs, runs))
+        _query_locally(tables, part, dict.fromkeys(part.legs, runs))
 
 
 def take_taken(tables: Tables, name: str, msg: PartTaken) -> None:
-    """Takes in that a helper has read its part."""
+    """Confirms a part that its helper has acknowledged."""
     part = tables.parts.get(msg.part_id)
     if part is not None and part.helper.name == name:
         part.taken = True
         part.helper.failures = 0
-        confirmed = PartConfirmed(part.part_id)
-        tables.out.append(ToPeer(name, confirmed))
+        confirmation = PartConfirmed(part.part_id)
+        tables.out.append(ToPeer(name, confirmation))
 
 
 def take_answered(tables: Tables, name: str, msg: PartAnswered) -> None:
-    """Takes in the answers of some shards of a part."""
+    """Receives the answers of some shards of a part."""
     part = tables.parts.get(msg.part_id)
     if part is None or part.helper.name != name:
         return
     part.taken = True
-    _take_legs(tables, part, msg)
+    _accept_answers(tables, part, msg)
     if msg.over:
-        _take_over(tables, part, msg)
+        _finish_part(tables, part, msg)
     runs = {end.service: end.runs for end in msg.missing}
     if msg.refused:
         runs = dict.fromkeys(part.legs, 0)
-    _ask_from_here(tables, part, runs)
+    _query_locally(tables, part, runs)
 
 
-def _take_legs(tables: Tables, part: Part, msg: PartAnswered) -> None:
+def _accept_answers(tables: Tables, part: Part, msg: PartAnswered) -> None:
     legs = [part.legs.get(service) for service in msg.services]
     if not all(leg is not None and leg.is_open for leg in legs):
-        # The records can't be told apart: all of these shards or none.
+        # The records are merged and can't be attributed to single shards, so
+        # the answer counts for all of these shards or for none.
         return
     name, body = part.helper.name, msg.body
     for leg, signature in zip(legs, msg.signatures, strict=True):
@@ -216,7 +222,7 @@
         body = b""
 
 
-def _take_over(tables: Tables, part: Part, msg: PartAnswered) -> None:
+def _finish_part(tables: Tables, part: Part, msg: PartAnswered) -> None:
     parts.close(tables, part)
     part.request.part_sends += max(0, msg.sends - len(part.legs))
     helper = part.helper
@@ -229,13 +235,13 @@
         times.note(took)
 
 
-def _ask_from_here(tables: Tables, part: Part, runs: dict[str, int]) -> None:
-    """Asks the shards that a helper left open, as far as that is allowed.
+def _query_locally(tables: Tables, part: Part, runs: dict[str, int]) -> None:
+    """Queries the shards that a helper left unanswered, within the limits.
 
     Args:
         tables: the tables.
-        part: what the helper was asked for.
-        runs: how often each of these may have run.
+        part: the part that was delegated.
+        runs: by service, how often the request may have run there.
     """
     request = part.request
     if request.done:
@@ -258,9 +264,9 @@
 
 
 def _may_send(tables: Tables, leg: Leg) -> bool:
-    """Whether a shard may be asked from here; counts it.
+    """Whether a shard may be queried from here; if so, counts the send.
 
-    Where nothing of it has run, this is its first send.
+    If the request has not run there, it counts as a first send.
     """
     if leg.request.is_unproved or not sending.may_send_more(tables, leg):
         return False
--- a/greengagemoor/forward/mergers.py
+++ b/greengagemoor/forward/mergers.py
@@ -1,4 +1,4 @@
-"""Mergers: how the parts of a gather become one body."""
+"""Mergers: combine the answers to a gather into one body."""
 
 from __future__ import annotations
 
@@ -19,10 +19,13 @@
 
 @mergers.register(GREATEST_RECORDS)
 def merge_greatest(parts: Iterable[bytes], top: int) -> bytes:
-    """Returns the greatest records of all parts, falling, equal ones kept.
+    """Returns the greatest records of all parts, in descending order.
+
+    Equal records are kept.
 
     Args:
-        parts: records of fixed size in any order; a shorter rest is none.
+        parts: records of fixed size in any order; an incomplete one at the end
+            of a part is ignored.
         top: most records in the result.
     """
     records = (record for part in parts for record in _records(part))
@@ -30,5 +33,5 @@
 
 
 def _records(part: bytes) -> Iterator[bytes]:
-    whole = len(part) - len(part) % RECORD_BYTES
-    return (part[i : i + RECORD_BYTES] for i in range(0, whole, RECORD_BYTES))
+    end = len(part) - len(part) % RECORD_BYTES
+    return (part[i : i + RECORD_BYTES] for i in range(0, end, RECORD_BYTES))
--- a/greengagemoor/forward/partintake.py
+++ b/greengagemoor/forward/partintake.py
@@ -1,4 +1,4 @@
-"""Takes in the parts of queries that other entries hand out."""
+"""Receives and runs the parts of queries that other entries delegate."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 def without_dropped(msgs: Iterable[object]) -> list[object]:
-    """Leaves out parts that were asked for and dropped in the same tick.
+    """Filters out parts that are requested and dropped in the same tick.
 
-    A frozen entry reads both when it wakes; its searchers would get requests
-    whose callers have long gone.
+    An entry that was frozen reads both messages when it resumes; without the
+    filter its searchers would receive requests whose callers left long ago.
     """
     msgs = list(msgs)
     dropped = {
@@ -43,10 +43,10 @@
     gone = {msg.name for msg in msgs if isinstance(msg, PeerDown)}
     if not dropped and not gone:
         return msgs
-    return [msg for msg in msgs if not _is_over(msg, dropped, gone)]
+    return [msg for msg in msgs if not _is_obsolete(msg, dropped, gone)]
 
 
-def _is_over(
+def _is_obsolete(
     msg: object, dropped: set[tuple[str, int]], gone: set[str]
 ) -> bool:
     if not isinstance(msg, FromPeer) or not isinstance(msg.payload, AskPart):
@@ -55,27 +55,27 @@
 
 
 def take_ask(tables: Tables, peer: str, msg: AskPart) -> None:
-    """Asks some shards for another entry, or refuses at once."""
+    """Queries some shards for another entry, or rejects the part at once."""
     if (peer, msg.part_id) in tables.origins:
         return
-    if not _may_take(tables, msg):
+    if not _may_accept(tables, msg):
         refused = PartAnswered(msg.part_id, over=True, refused=True)
         tables.out.append(ToPeer(peer, refused))
         return
-    request = _open(tables, peer, msg)
+    request = _open_part(tables, peer, msg)
     tables.requests[request.token] = request
     tables.origins[(peer, msg.part_id)] = request
     tables.out.append(PartOpened(request.token, msg.copy))
     tables.out.append(ToPeer(peer, PartTaken(msg.part_id)))
     starting.start(tables, request)
     if not request.done:
-        look = partial(completion.look, tables, request)
-        tables.set_timer(request.give_at, look)
-        tables.set_timer(request.ends_at, partial(_end, tables, request))
+        check = partial(completion.look, tables, request)
+        tables.set_timer(request.give_at, check)
+        tables.set_timer(request.ends_at, partial(_expire, tables, request))
 
 
-def _may_take(tables: Tables, msg: AskPart) -> bool:
-    """Whether what is known here is enough, and the request harmless."""
+def _may_accept(tables: Tables, msg: AskPart) -> bool:
+    """Whether this entry is ready, and the request in time and not suspect."""
     if not tables.takes_parts or msg.end_in_s <= 0:
         return False
     if trialtable.is_refused(tables, msg.fingerprint):
@@ -83,7 +83,7 @@
     return not evidence.is_suspect(tables, msg.fingerprint)
 
 
-def _open(tables: Tables, peer: str, msg: AskPart) -> Request:
+def _open_part(tables: Tables, peer: str, msg: AskPart) -> Request:
     now = tables.now
     route = Route(
         name=msg.route,
@@ -111,36 +111,36 @@
     return request
 
 
-def _end(tables: Tables, request: Request) -> None:
+def _expire(tables: Tables, request: Request) -> None:
     if not request.done:
         completion.finish(tables, request, Ending.NO_ANSWER)
 
 
 def take_confirmed(tables: Tables, peer: str, msg: PartConfirmed) -> None:
-    """Lets the shards of a part be sent to a second time."""
+    """Allows second sends to the shards of a part."""
     request = tables.origins.get((peer, msg.part_id))
     if request is not None:
         request.is_confirmed = True
 
 
 def take_dropped(tables: Tables, peer: str, msg: PartDropped) -> None:
-    """Lets go of a part that is no longer wanted."""
+    """Ends a part that is no longer wanted."""
     request = tables.origins.get((peer, msg.part_id))
     if request is not None:
-        _drop(tables, request, answered=msg.answered)
+        _drop_part(tables, request, answered=msg.answered)
 
 
 def take_down(tables: Tables, peer: str) -> None:
-    """Lets go of all parts of an entry that can't be told of them."""
-    mine = [
+    """Ends all parts of an entry whose link is down."""
+    orphaned = [
         request for (name, _), request in tables.origins.items() if name == peer
     ]
-    for request in mine:
-        _drop(tables, request, answered=False)
+    for request in orphaned:
+        _drop_part(tables, request, answered=False)
 
 
-def _drop(tables: Tables, request: Request, *, answered: bool) -> None:
-    # Sends may linger where the caller has its answer.
+def _drop_part(tables: Tables, request: Request, *, answered: bool) -> None:
+    # If the caller has its answer, sends in flight may linger for a while.
     request.is_dropped = True
     ending = Ending.PARTIAL if answered else Ending.CALLER_GONE
     completion.finish(tables, request, ending)
--- a/greengagemoor/forward/partmessages.py
+++ b/greengagemoor/forward/partmessages.py
@@ -1,7 +1,7 @@
 """Messages between entries that share the shards of one query.
 
-They travel as protobuf messages of the same names (wire/peers.proto). Times
-are seconds from the moment at which a message is read.
+They are sent as protobuf messages of the same names (wire/peers.proto). Times
+are in seconds from the moment at which a message is read.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 @values.frozen
 class RequestCopy:
-    """What searchers are sent of a caller's request.
+    """The part of a caller's request that is forwarded to searchers.
 
     Attributes:
-        head: header lines, each ended by CR LF.
+        head: header lines, each terminated by CR LF.
     """
 
     method: str = ""
@@ -25,18 +25,18 @@
 
 @values.frozen
 class AskPart:
-    """Asks another entry to query some shards, and to merge their records.
+    """Asks another entry to query some shards and to merge their records.
 
     Attributes:
-        part_id: names the part at the sender.
-        services: the shards.
+        part_id: id of the part at the sender.
+        services: the services of the shards.
         top: most records of a merged answer.
         attempts: most searchers for each shard.
         rank: 0 is the most urgent.
-        objective_s: of the route.
-        give_in_s: from then on each answer is told as it comes.
-        end_in_s: the last moment for an answer.
-        fingerprint: of the request.
+        objective_s: latency objective of the route.
+        give_in_s: from then on each answer is reported as it arrives.
+        end_in_s: deadline of the answer.
+        fingerprint: fingerprint of the request.
     """
 
     part_id: int
@@ -55,17 +55,17 @@
 
 @values.frozen
 class PartTaken:
-    """The part has been read, and its sends are under way."""
+    """Acknowledges a part; its sends are in flight."""
 
     part_id: int
 
 
 @values.frozen
 class PartConfirmed:
-    """The asking entry knows that the part was taken, and waits for it.
+    """The asking entry has received ``PartTaken`` and waits for the part.
 
-    Until then no shard of it may be sent to twice: who asks may have heard
-    nothing, and ask the shards itself.
+    Until then no shard of the part may be sent a second request: without
+    ``PartTaken`` the asking entry may query the shards itself.
     """
 
     part_id: int
@@ -76,7 +76,7 @@
     """A shard without an answer.
 
     Attributes:
-        runs: sends of it that may have run.
+        runs: sends to it that may have run.
     """
 
     service: str
@@ -85,16 +85,16 @@
 
 @values.frozen
 class PartAnswered:
-    """What became of some shards of a part, that was not told before.
+    """Results of some shards of a part that were not reported before.
 
     Attributes:
-        services: whose answers these are.
-        signatures: of the searchers, in the order of ``services``.
-        body: the greatest records of these answers, falling.
-        missing: shards that will have no answer from there.
-        over: nothing more will be told.
-        sends: when it is over, how often the request was sent.
-        refused: nothing was sent.
+        services: the services whose answers are included.
+        signatures: the searchers' signatures, in the order of ``services``.
+        body: the greatest records of these answers, in descending order.
+        missing: shards that the sender will not answer.
+        over: this is the last message about the part.
+        sends: if ``over``, how often the request was sent.
+        refused: the part was rejected and nothing was sent.
     """
 
     part_id: int
@@ -112,33 +112,34 @@
     """The part's answer is no longer wanted.
 
     Attributes:
-        answered: the caller has its answer; else it has gone.
+        answered: whether the caller has its answer. If not, it has left, or
+            the asking entry has taken the shards back.
     """
 
     part_id: int
     answered: bool
 
 
-# Inside a process.
+# Messages within a process.
 
 
 @values.frozen
 class PeerUp:
-    """A link to another entry works."""
+    """The link to another entry is up."""
 
     name: str
 
 
 @values.frozen
 class PeerDown:
-    """The link to another entry is gone."""
+    """The link to another entry is down."""
 
     name: str
 
 
 @values.frozen
 class FromPeer:
-    """A message came from another entry."""
+    """A message received from another entry."""
 
     name: str
     payload: object
@@ -146,10 +147,10 @@
 
 @values.frozen
 class ToPeer:
-    """Send a message to another entry.
+    """Sends a message to another entry.
 
     Attributes:
-        token: the caller's request that ``AskPart`` is about.
+        token: for ``AskPart``, the caller's request.
     """
 
     name: str
@@ -159,7 +160,7 @@
 
 @values.frozen
 class PartOpened:
-    """What to send under a token until ``PartClosed``."""
+    """The request to send for a token until ``PartClosed``."""
 
     token: int
     copy: RequestCopy
@@ -167,11 +168,12 @@
 
 @values.frozen
 class PartClosed:
-    """Nothing more is sent under a token.
+    """Nothing more is sent for a token.
 
     Attributes:
-        peer: the entry that asked.
-        shards: how many were asked for, and answered.
+        peer: the entry that asked for the part.
+        shards: number of shards that were asked for.
+        answered: number of shards that were answered.
     """
 
     token: int
--- a/greengagemoor/forward/parts.py
+++ b/greengagemoor/forward/parts.py
@@ -1,4 +1,4 @@
-"""Rows of queries whose shards several entries share."""
+"""State of queries whose shards are shared among entries."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @attrs.define(eq=False, repr=False)
 class Helper:
-    """Another entry that may be asked for a part of the shards.
+    """Another entry to which parts of a query may be delegated.
 
     Attributes:
-        running: parts that this entry has there.
-        failures: parts in a row that it did not take in time.
-        avoid_until: it isn't asked before.
-        slowness: what its parts take, over what parts usually take.
+        running: parts of this entry in progress there.
+        failures: consecutive parts that it did not acknowledge in time.
+        avoid_until: it is not asked before.
+        slowness: time of its parts relative to the usual time of parts.
     """
 
     name: str
@@ -33,11 +33,11 @@
 
 @attrs.define(eq=False, repr=False)
 class Part:
-    """Shards of one query that a helper asks.
+    """Shards of one query that are delegated to a helper.
 
     Attributes:
-        legs: by service.
-        taken: whether the helper has read it.
+        legs: legs by service.
+        taken: whether the helper has acknowledged the part.
     """
 
     part_id: int
@@ -50,10 +50,12 @@
 
 @attrs.define(eq=False, repr=False)
 class Origin:
-    """For whom this entry asks some shards.
+    """The entry on whose behalf this one queries some shards.
 
     Attributes:
-        told: services whose answers, or ends without one, were told.
+        peer: name of that entry.
+        part_id: id of the part at that entry.
+        told: services whose answer, or end without one, has been reported.
     """
 
     peer: str
@@ -62,22 +64,22 @@
 
 
 def close(tables: Tables, part: Part) -> None:
-    """Forgets a part; what its helper still says of it counts no more."""
+    """Removes a part; later messages of its helper about it are ignored."""
     if tables.parts.pop(part.part_id, None) is not None:
         part.helper.running -= 1
 
 
 def drop(tables: Tables, part: Part, *, answered: bool) -> None:
-    """Tells a helper that a part is no longer wanted."""
+    """Removes a part and notifies its helper that it is no longer wanted."""
     close(tables, part)
-    told = PartDropped(part.part_id, answered)
-    tables.out.append(ToPeer(part.helper.name, told))
+    msg = PartDropped(part.part_id, answered)
+    tables.out.append(ToPeer(part.helper.name, msg))
 
 
 def drop_all(tables: Tables, request: Request, *, answered: bool) -> None:
     """Drops the parts of a request that has its final answer."""
     if not request.is_shared:
         return
-    mine = [p for p in tables.parts.values() if p.request is request]
-    for part in mine:
+    open_parts = [p for p in tables.parts.values() if p.request is request]
+    for part in open_parts:
         drop(tables, part, answered=answered)
--- a/greengagemoor/forward/proof.py
+++ b/greengagemoor/forward/proof.py
@@ -1,11 +1,11 @@
-"""Whether a request may go out again after a searcher ended under it.
-
-A repeat saves an innocent request whose searcher ended by chance, and ends one
-more searcher if the request itself is what ended the first. A searcher that has
-answered another shard of it proves that it is innocent, and that takes a part
-of its time only. So repeats wait for the first answer while other sends are
-under way; a request under which several searchers ended is given up when none
-of its sends is left, as it has never been answered.
+"""Decides whether to resend a request after a searcher ended while running it.
+
+A retry saves a harmless request whose searcher ended by chance, but ends one
+more searcher if the request itself was the cause. An answer of a searcher of
+another shard proves that the request is harmless, and takes only part of the
+request's time. Retries therefore wait for the first answer while other sends
+are in flight. A request during which several searchers ended is given up when
+none of its sends is left, because no searcher has answered it.
 """
 
 from __future__ import annotations
@@ -20,57 +20,58 @@
     from greengagemoor.forward.messages import AttemptEnded
     from greengagemoor.forward.tables import Attempt, Leg, Request, Tables
 
-SEVERAL = 2
-"""Searchers that ended under one request before it is given up. One ends by
-chance now and then; that two of a request's do, and none answers, is rare."""
+GIVE_UP_ENDS = 2
+"""Number of searchers that end while running a request before it is given up. A
+single one sometimes ends by chance; it is rare that two of a request's do and
+none answers."""
 
 
 def note_end(attempt: Attempt, msg: AttemptEnded) -> None:
-    """Notes a searcher that seems to have ended under a request.
+    """Records a searcher that seems to have ended while running a request.
 
-    A kept connection that broke may just have been dropped; it is counted if
-    the searcher can't be reached any more.
+    The searcher may merely have closed an idle connection that broke; it is
+    counted if it then can't be reached any more.
     """
     leg, searcher = attempt.leg, attempt.searcher
     if msg.outcome is Outcome.BROKEN and not msg.began:
         leg.broken_by = searcher
-        gone = not msg.stale
+        ended = not msg.stale
     else:
-        gone = msg.outcome is Outcome.NOT_SENT and leg.broken_by is searcher
-    if gone:
+        ended = msg.outcome is Outcome.NOT_SENT and leg.broken_by is searcher
+    if ended:
         leg.request.ended_under |= {searcher.searcher_id}
 
 
 def wait(tables: Tables, leg: Leg, outcome: Outcome) -> None:
-    """Holds a leg's repeat back until a searcher has answered its request."""
+    """Defers a leg's retry until a searcher has answered its request."""
     request = leg.request
     request.unproved_legs.append((leg, outcome))
     if any(other.attempts for other in request.legs):
         at = tables.now + sending.hedge_delay(tables, request.route)
-        tables.set_timer(at, partial(_look_again, tables, request))
+        tables.set_timer(at, partial(_stop_waiting, tables, request))
     else:
-        _settle(tables, request)
+        _release_or_give_up(tables, request)
 
 
-def _look_again(tables: Tables, request: Request) -> None:
-    """Goes on if all other shards are slow: one end says little."""
+def _stop_waiting(tables: Tables, request: Request) -> None:
+    """Stops waiting if all other shards are slow: one end is weak evidence."""
     if request.unproved_legs and not request.done:
-        _settle(tables, request)
+        _release_or_give_up(tables, request)
 
 
-def _settle(tables: Tables, request: Request) -> None:
-    if len(request.ended_under) < SEVERAL:
+def _release_or_give_up(tables: Tables, request: Request) -> None:
+    if len(request.ended_under) < GIVE_UP_ENDS:
         release(tables, request)
     elif not any(leg.attempts for leg in request.legs):
-        waiting, request.unproved_legs = request.unproved_legs, []
-        for leg, _ in waiting:
+        deferred, request.unproved_legs = request.unproved_legs, []
+        for leg, _ in deferred:
             leg.give_up()
 
 
 def release(tables: Tables, request: Request) -> None:
-    """Sends again what waited for an answer."""
-    waiting, request.unproved_legs = request.unproved_legs, []
-    for leg, outcome in waiting:
+    """Sends the deferred retries."""
+    deferred, request.unproved_legs = request.unproved_legs, []
+    for leg, outcome in deferred:
         if not leg.is_open or leg.attempts:
             continue
         if not leg.sends:
--- a/greengagemoor/forward/trialtable.py
+++ b/greengagemoor/forward/trialtable.py
@@ -1,4 +1,4 @@
-"""The trials of suspect requests that an entry knows of."""
+"""Table of an entry's trials of suspect requests."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     from greengagemoor.forward.messages import TrialWanted
     from greengagemoor.forward.tables import Request, Tables
 
-MOST_KEPT = 1024
-"""Trials kept: as many as there are suspects."""
+MAX_TRIALS_KEPT = 1024
+"""Most trials kept: as many as there may be suspect requests."""
 
 
 class Stage(enum.Enum):
-    """How far a trial is."""
+    """The progress of a trial."""
 
     IDLE = "idle"
     ASKED = "asked"
@@ -33,11 +33,11 @@
     """The trials of one request at this entry.
 
     Attributes:
-        epoch: of the request's row.
-        claim: names this entry's tries; new for each object.
-        until: end of a grant, or of the time in which none is asked for.
-        wanted: the claim that was asked for last.
-        held: requests that wait for its end.
+        epoch: epoch of the request's row.
+        claim: id of this entry's current claim, unique in this process.
+        until: end of a grant, or of the pause after all trials were spent.
+        wanted: the claim that was sent last.
+        held: requests that wait for the trial to end.
     """
 
     fingerprint: bytes
@@ -51,7 +51,7 @@
 
 
 def is_refused(tables: Tables, fingerprint: bytes) -> bool:
-    """Whether a request is sent to no searcher any more."""
+    """Whether a request is no longer sent to any searcher."""
     if tables.suspects.standing(fingerprint) is Standing.QUARANTINED:
         return True
     trial = tables.trials.get(fingerprint)
@@ -60,19 +60,19 @@
 
 
 def trial_of(tables: Tables, fingerprint: bytes) -> Trial:
-    """Returns the trial of a request that has a row; a new one if need be."""
+    """Returns the trial of a request that has a row, created on demand."""
     trial = tables.trials.get(fingerprint)
     row = tables.suspects.get(fingerprint)
     if trial is None or trial.epoch != row.epoch:
         trial = Trial(fingerprint, row.epoch, next(tables.ids))
         tables.trials[fingerprint] = trial
-        _make_room(tables)
+        _evict(tables)
     return trial
 
 
-def _make_room(tables: Tables) -> None:
-    """Forgets the oldest trial that nobody waits for."""
-    if len(tables.trials) <= MOST_KEPT:
+def _evict(tables: Tables) -> None:
+    """Evicts the oldest trial for which no request waits."""
+    if len(tables.trials) <= MAX_TRIALS_KEPT:
         return
     free = (key for key, trial in tables.trials.items() if not trial.held)
     oldest = next(free, None)
--- a/tests/test_forward/test_trials.py
+++ b/tests/test_forward/test_trials.py
@@ -14,7 +14,7 @@
 from greengagemoor.feed.suspects import Standing
 from greengagemoor.forward import messages as m
 from greengagemoor.forward.messages import Ending, Outcome
-from greengagemoor.forward.trials import MOST_TRIALS, VALID_S
+from greengagemoor.forward.trials import MAX_TRIALS, TRIAL_VALID_S
 from tests.test_forward.helpers import Bench, answers, gather, single, starts
 
 SUSPECT = Suspect(b"f", ended=tuple(SearcherKey(name) for name in "abc"))
@@ -172,7 +172,7 @@
             bench.arrive(gather(time_limit_s=9.0))
         bench.ask()
         assert not starts(bench.decide())
-        bench.pass_time(VALID_S + 0.1, tick=0.05)
+        bench.pass_time(TRIAL_VALID_S + 0.1, tick=0.05)
         assert bench.told(m.TrialUnused)
 
     def test_trial_of_another_entry_is_waited_for(self):
@@ -194,7 +194,7 @@
         """Other entries had them, and ended before anybody answered."""
         bench = TrialBench()
         bench.ask()
-        for _ in range(MOST_TRIALS):
+        for _ in range(MAX_TRIALS):
             out = bench.decide(ClaimVerdict.UNKNOWN)
         (end,) = answers(out)
         assert end.ending is Ending.NOT_RUN_QUARANTINED
