--- a/greengagemoor/forward/delegating.py
+++ b/greengagemoor/forward/delegating.py
@@ -57,7 +57,7 @@
     Delegated legs count as sent once, because they may have run.
     """
     legs = [leg for leg in request.legs if leg.is_open and not leg.sends]
-    if not _is_worth_it(tables, request, legs):
+    if not _is_worth_sharing(tables, request, legs):
         return
     wanted = math.ceil(len(legs) / MAX_SHARDS_PER_ENTRY) - 1
     helpers = _choose_helpers(tables, wanted)
@@ -74,7 +74,7 @@
         _send_part(tables, request, helper, group)
 
 
-def _is_worth_it(tables: Tables, request: Request, legs: list[Leg]) -> bool:
+def _is_worth_sharing(tables: Tables, request: Request, legs: list[Leg]) -> bool:
     if request.origin is not None or request.route.gather is None:
         return False
     if request.route.grade is not Grade.REPEATABLE or request.is_trial:
--- a/greengagemoor/forward/proof.py
+++ b/greengagemoor/forward/proof.py
@@ -21,9 +21,8 @@
     from greengagemoor.forward.tables import Attempt, Leg, Request, Tables
 
 GIVE_UP_ENDS = 2
-"""Number of searchers that end while running a request before it is given up. A
-single one sometimes ends by chance; it is rare that two of a request's do and
-none answers."""
+"""A request is given up when so many searchers have ended while running it. One
+sometimes ends by chance; that two do and none answers is rare."""
 
 
 def note_end(attempt: Attempt, msg: AttemptEnded) -> None:
--- a/tests/test_forward/test_evacuations.py
+++ b/tests/test_forward/test_evacuations.py
@@ -98,7 +98,7 @@
         assert answer.ending is Ending.NOT_RUN_NO_SEARCHER
         assert not starts(out)
 
-    def test_order_of_words_does_not_matter(self):
+    def test_order_of_updates_does_not_matter(self):
         bench, far = two_data_centres(here=0)
         bench.step(END)
         bench.step(START)
