--- a/greengagemoor/forward/delegating.py
+++ b/greengagemoor/forward/delegating.py
@@ -74,7 +74,9 @@
         _send_part(tables, request, helper, group)
 
 
-def _is_worth_sharing(tables: Tables, request: Request, legs: list[Leg]) -> bool:
+def _is_worth_sharing(
+    tables: Tables, request: Request, legs: list[Leg]
+) -> bool:
     if request.origin is not None or request.route.gather is None:
         return False
     if request.route.grade is not Grade.REPEATABLE or request.is_trial:
