--- a/greengagemoor/forward/partmessages.py
+++ b/greengagemoor/forward/partmessages.py
@@ -113,8 +113,8 @@
     """The part's answer is no longer wanted.
 
     Attributes:
-        answered: whether the caller has its answer. If not, it has left, or
-            the asking entry has taken the shards back.
+        answered: the caller has a good answer. False if it has left, if its
+            request failed, or if the asking entry took the shards back.
     """
 
     part_id: int
--- a/greengagemoor/forward/tables.py
+++ b/greengagemoor/forward/tables.py
@@ -211,7 +211,7 @@
         origins: parts that this entry runs for others, by entry name and
             part id.
         unreported: fingerprints of rows to be reported to the control group,
-            and whether the row was known before.
+            and whether others may know the request already.
         to_review: fingerprints of requests whose standing may have changed.
     """
 
