--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -455,7 +455,7 @@
         "feed/suspects.py",
         "SUSPECT_THRESHOLD = 3",
         "SUSPECT_THRESHOLD = 9",
-        (FORWARD + "test_crashing_requests.py::TestRule",),
+        (FORWARD + "test_crashing_requests.py::TestRepeatLimit",),
     ),
     Mutant(
         "ends: a start counts once",
@@ -516,7 +516,7 @@
     Mutant(
         "trials: few in all",
         "forward/trials.py",
-        "    if trial.number > MOST_TRIALS:\n",
+        "    if trial.number > MAX_TRIALS:\n",
         "    if False:\n",
         (FORWARD + "test_trials.py",),
     ),
