--- a/greengagemoor/forward/choosing.py
+++ b/greengagemoor/forward/choosing.py
@@ -1,4 +1,4 @@
-"""Which searcher of a service gets a send."""
+"""Selects the searcher of a service for a send."""
 
 from __future__ import annotations
 
@@ -14,63 +14,75 @@
     from greengagemoor.forward.tables import Leg, Searcher, Tables
 
 SLOW_FOR_OTHERS = 4.0
-"""Slowness of a searcher that other entries find slow; the usual trouble makes
-work 4 to 9 times as long."""
-FRESH_S = 1.0
-"""An own answer so lately says more than what others find."""
+"""Least slowness assumed of a searcher that other entries report as slow; the
+usual faults make requests take 4 to 9 times as long."""
+OWN_ANSWER_FRESH_S = 1.0
+"""Age in seconds up to which this entry's own last answer from a searcher
+overrides reports of slowness by other entries."""
 SLOW_RATIO = 3.0
-"""A send that takes so many medians of its route counts as slow; two of 100
-sends do so by their own work."""
+"""Multiple of the route's median from which a send counts as slow; 2 of 100
+sends exceed it at a searcher without a fault."""
 RELAX_S = 8.0
-"""In this time most of what was learnt of a searcher's slowness fades, so that
-one that recovers gets sends again."""
+"""Time constant, in seconds, of the exponential decay of a searcher's measured
+slowness and failure rate, so that one that recovers gets sends again."""
 LATE_FACTOR = 2.5
-"""A send that takes this many times the usual says that its searcher pauses;
-waiting for the answer to say so costs a pause for each further send."""
+"""Multiple of the route's median after which a send under way raises the cost
+of its searcher, which may have paused. Each send made there before the answer
+would wait for the end of the pause too."""
 NOISE = 0.15
-"""Spread of costs, so that entries don't all choose the same searcher."""
+"""Largest random share added to a cost, so that entries don't all choose the
+same searcher."""
 OTHER_DATA_CENTRE = 1.7
+"""Factor on the cost of a searcher in another data centre."""
 COLD = 1.6
-FAILING_WEIGHT = 6.0
-FAILING_SMOOTHING = 0.2
+"""Factor on the cost of a searcher that has just started."""
+FAILURE_WEIGHT = 6.0
+"""Increase of the factor on a searcher's cost if all its sends fail."""
+FAILURE_SMOOTHING = 0.2
+"""Weight of the last send in the smoothed share of failed sends."""
 REFUSED_AVOID_S = 0.02
+"""Seconds for which a searcher is avoided after it refused a send."""
 FIRST_AVOID_S = 0.25
 LONGEST_AVOID_S = 2.0
-TRUSTED_S = 1.5
-"""A searcher that answered so lately is alive, whoever says it is lost."""
+"""First and longest time, in seconds, for which a searcher is avoided after
+failures; it doubles with each failure in a row."""
+ANSWERED_RECENTLY_S = 1.5
+"""Seconds after an answer during which a searcher counts as running although
+the control instances report it as lost."""
 
 
 @values.frozen
 class Choice:
-    """A searcher, and the expected time in medians of the route."""
+    """A searcher, and the expected time of a send in medians of the route."""
 
     searcher: Searcher
     cost: float
 
 
 def choose(tables: Tables, leg: Leg) -> Choice | None:
-    """Returns the searcher with the lowest cost, None if none has a place.
+    """Returns the searcher with the lowest cost, or None.
 
-    A searcher that was asked before for this leg is left out.
+    Leaves out searchers that were tried before for this leg, and those that
+    have no free connection.
     """
     rows = tables.by_service.get(leg.service, ())
-    fit = [
+    usable = [
         row for row in rows if row not in leg.asked and is_usable(tables, row)
     ]
-    free = [
+    available = [
         row
-        for row in fit
+        for row in usable
         if len(row.attempts) < row.cap and coldstart.has_turn(tables, row)
     ]
-    if not free:
+    if not available:
         return None
     median = tables.times_of(leg.request.route).median
-    choices = (Choice(row, _cost(tables, row, median)) for row in free)
+    choices = (Choice(row, _cost(tables, row, median)) for row in available)
     return min(choices, key=lambda choice: choice.cost)
 
 
 def is_usable(tables: Tables, row: Searcher) -> bool:
-    """Whether a searcher may be sent to now, places aside."""
+    """Whether a searcher may be sent to now, free connections aside."""
     if row.state in (SearcherState.DRAINING, SearcherState.GONE):
         return False
     if row.data_centre in tables.evacuated:
@@ -80,7 +92,7 @@
     if tables.now < row.avoid_until:
         return False
     if row.state is SearcherState.LOST:
-        return row.answered_at > tables.now - TRUSTED_S
+        return row.answered_at > tables.now - ANSWERED_RECENTLY_S
     return True
 
 
@@ -92,7 +104,7 @@
 def _cost(tables: Tables, row: Searcher, median: float) -> float:
     """Returns the expected time of a send in medians of its route."""
     cost = _slowness(tables, row) * (1.0 + _queue(row))
-    cost *= 1.0 + FAILING_WEIGHT * _failing(tables, row)
+    cost *= 1.0 + FAILURE_WEIGHT * _failure_rate(tables, row)
     if tables.now < row.cold_until:
         cost *= COLD
     if row.data_centre != tables.data_centre:
@@ -103,30 +115,33 @@
 
 def _slowness(tables: Tables, row: Searcher) -> float:
     age = max(0.0, tables.now - row.answered_at)
-    faded = math.exp(-age / RELAX_S)
-    if tables.now < row.slow_until and age > FRESH_S:
+    decay = math.exp(-age / RELAX_S)
+    if tables.now < row.slow_until and age > OWN_ANSWER_FRESH_S:
         return max(row.slowness.value, SLOW_FOR_OTHERS)
-    return 1.0 + (row.slowness.value - 1.0) * faded
+    return 1.0 + (row.slowness.value - 1.0) * decay
 
 
-def _failing(tables: Tables, row: Searcher) -> float:
+def _failure_rate(tables: Tables, row: Searcher) -> float:
     age = max(0.0, tables.now - row.judged_at)
     return row.failing * math.exp(-age / RELAX_S)
 
 
-def _judge(tables: Tables, row: Searcher, *, failed: bool) -> None:
-    """Moves the smoothed share of failed sends."""
-    before = _failing(tables, row)
-    row.failing = before + FAILING_SMOOTHING * (failed - before)
+def _update_failure_rate(
+    tables: Tables, row: Searcher, *, failed: bool
+) -> None:
+    """Updates the smoothed share of failed sends."""
+    before = _failure_rate(tables, row)
+    row.failing = before + FAILURE_SMOOTHING * (failed - before)
     row.judged_at = tables.now
 
 
 def _queue(row: Searcher) -> float:
-    """Returns how many work times a further request would wait there.
+    """Returns the expected queueing time of a send, in times of a request.
 
-    Own sends alone count. What a searcher said of its load is over when the
-    next send comes, and all entries hear it: where few searchers of a shard
-    are quick, each entry would leave them to the others and go to slow ones.
+    Counts this entry's own sends only. The load that a searcher reports is
+    out of date by the next send, and all entries receive it: where few
+    searchers of a shard are fast, all entries would avoid these at once and
+    send to slow ones.
     """
     busy = len(row.attempts)
     slots = max(1, row.slots)
@@ -137,12 +152,12 @@
     if not row.attempts:
         return 0.0
     oldest = next(iter(row.attempts.values()))
-    ages = (tables.now - oldest.sent_at) / median
-    return ages if ages > LATE_FACTOR else 0.0
+    elapsed = (tables.now - oldest.sent_at) / median
+    return elapsed if elapsed > LATE_FACTOR else 0.0
 
 
 def note_answer(tables: Tables, row: Searcher, ratio: float) -> None:
-    """Learns from an answer that took ``ratio`` medians of its route."""
+    """Records an answer that took ``ratio`` medians of its route."""
     age = tables.now - row.answered_at
     row.slowness.value = _slowness(tables, row)
     row.slowness.note(ratio, age)
@@ -150,19 +165,20 @@
     row.failures = 0
     if ratio >= SLOW_RATIO:
         tables.out.append(SlowSeen(row.key))
-    _judge(tables, row, failed=False)
+    _update_failure_rate(tables, row, failed=False)
 
 
 def note_failure(tables: Tables, row: Searcher, *, unreachable: bool) -> None:
-    """Learns from a send that failed.
+    """Records a send that failed.
 
     Args:
         tables: the tables.
-        row: who failed.
-        unreachable: whether no connection stood, as after a crash; then the
-            searcher is left alone at once, and asked again ever more rarely.
+        row: the searcher that failed.
+        unreachable: whether no connection could be opened, as after a crash;
+            the searcher is then avoided from the first failure, with
+            exponential backoff.
     """
-    _judge(tables, row, failed=True)
+    _update_failure_rate(tables, row, failed=True)
     row.failures += 1
     if unreachable or row.failures > 2:
         pause = FIRST_AVOID_S * 2 ** min(row.failures - 1, 6)
@@ -170,18 +186,18 @@
 
 
 def note_refusal(tables: Tables, row: Searcher) -> None:
-    """Learns from a searcher that refused to run a send.
+    """Records that a searcher refused to run a send.
 
-    One that sheds a part of its requests, its health good and its load low,
-    costs a second send each time; without this it would be chosen as often as
-    the others, and the budget for second sends would be gone in a second.
+    Each refusal costs a retry. A searcher that refuses a part of its requests
+    although it is healthy and its load low would otherwise be chosen as often
+    as the others, and use up the retry budget within a second.
     """
     row.avoid_until = max(row.avoid_until, tables.now + REFUSED_AVOID_S)
-    _judge(tables, row, failed=True)
+    _update_failure_rate(tables, row, failed=True)
 
 
 def note_load(tables: Tables, row: Searcher, load: SearcherLoad) -> None:
-    """Learns a searcher's own count, for the log, and its slots."""
+    """Records the load that a searcher reports, for the log, and its slots."""
     row.others = max(0.0, load.running + load.waiting - len(row.attempts))
     row.slots = load.slots or row.slots
     row.load_at = tables.now
--- a/greengagemoor/forward/sending.py
+++ b/greengagemoor/forward/sending.py
@@ -1,4 +1,4 @@
-"""Sends a leg's request, again or a second time where that is allowed."""
+"""Sends a leg's request to searchers: first sends, retries and hedges."""
 
 from __future__ import annotations
 
@@ -21,16 +21,22 @@
     from greengagemoor.forward.tables import Leg, Tables
     from greengagemoor.routing.routes import Route
 
-MOST_SENDS = 5
-"""Most sends of one leg, those included that never ran."""
-LEAST_HEDGE_S = 0.004
-"""A second send sooner than a network round trip can't tell a late answer."""
+MAX_SENDS = 5
+"""Maximum sends of one leg, those that never ran included."""
+MIN_HEDGE_DELAY_S = 0.004
+"""Least delay of a hedge in seconds: within a network round trip the answer may
+be on its way."""
 LOOK_AGAIN_S = 0.01
-"""Interval of looking for a place or a token; a tenth of a work time."""
+"""Interval in seconds at which waiting legs check for a free connection, and
+late ones for budget; a tenth of the time that a request usually takes."""
 
 
 def send(tables: Tables, leg: Leg, *, second: bool = False) -> bool:
-    """Sends to the best searcher that has a place; False if none has."""
+    """Sends to the cheapest searcher with a free connection.
+
+    Returns:
+        False if no searcher is available.
+    """
     choice = choosing.choose(tables, leg)
     if choice is None:
         return False
@@ -73,24 +79,24 @@
 def _sent_step(
     tables: Tables, leg: Leg, choice: choosing.Choice, *, second: bool
 ) -> Step:
-    row = choice.searcher
+    chosen = choice.searcher
     return Step(
         StepKind.SENT_BESIDE if second else StepKind.SENT,
         tables.now - leg.request.arrived_at,
         leg.service,
-        row.searcher_id,
+        chosen.searcher_id,
         cost=choice.cost,
-        own=len(row.attempts),
-        others=row.others,
-        load_age_s=tables.now - row.load_at,
+        own=len(chosen.attempts),
+        others=chosen.others,
+        load_age_s=tables.now - chosen.load_at,
     )
 
 
 def wait_for_place(tables: Tables, leg: Leg) -> None:
-    """Queues a leg until a searcher has a place, most urgent first.
+    """Queues a leg until a searcher has a free connection, by route rank.
 
-    Answers a burst: without the queue every leg beyond the places would be
-    missing from its answer, also when a place is free a millisecond later.
+    Absorbs bursts: without the queue each leg beyond the free connections
+    would be missing from its answer, even if one is free a millisecond later.
     """
     if leg.waiting:
         return
@@ -101,29 +107,30 @@
     item = (leg.request.route.rank, next(tables.ids), leg)
     heapq.heappush(queue, item)
     if len(queue) == 1:
-        _look_again(tables, leg.service)
+        _arm_queue_timer(tables, leg.service)
 
 
-def _look_again(tables: Tables, service: str) -> None:
+def _arm_queue_timer(tables: Tables, service: str) -> None:
     at = tables.now + LOOK_AGAIN_S
-    tables.set_timer(at, partial(_serve_on_time, tables, service))
+    tables.set_timer(at, partial(_serve_queue_on_timer, tables, service))
 
 
-def _serve_on_time(tables: Tables, service: str) -> None:
+def _serve_queue_on_timer(tables: Tables, service: str) -> None:
     serve_waiting(tables, service)
     if tables.waiting.get(service):
-        _look_again(tables, service)
+        _arm_queue_timer(tables, service)
 
 
 def serve_waiting(tables: Tables, service: str) -> None:
-    """Sends what waits for the service while there are places."""
+    """Sends queued legs of the service while connections are free."""
     queue = tables.waiting.get(service)
     while queue:
         leg = queue[0][2]
         request = leg.request
         wanted = leg.is_open and not leg.attempts and not request.done
         if wanted and request.is_unproved:
-            # Sent now, it might end one more searcher.
+            # Searchers crashed under this request: sent before any searcher
+            # has answered it, it might crash another one.
             request.unproved_legs.append((leg, Outcome.NOT_RUN))
         elif wanted and not send(tables, leg):
             return
@@ -132,11 +139,11 @@
 
 
 def hedge_delay(tables: Tables, route: Route) -> float:
-    """Returns the seconds after which a send on the route is late."""
+    """Returns the seconds after which a send on the route is hedged."""
     times = tables.times_of(route)
     quantile = times.quantile(tables.policy.hedge_quantile)
-    longest = tables.policy.hedge_medians * times.median
-    return max(min(quantile, longest), LEAST_HEDGE_S)
+    max_delay = tables.policy.hedge_medians * times.median
+    return max(min(quantile, max_delay), MIN_HEDGE_DELAY_S)
 
 
 def _arm_hedge(tables: Tables, leg: Leg) -> None:
@@ -146,15 +153,15 @@
 
 
 def _hedge(tables: Tables, leg: Leg, sends: int) -> None:
-    """Sends a second time, beside a send that is late.
+    """Sends a hedge beside a late send, or checks again later.
 
-    Each searcher pauses now and then; one pause in any of a query's shards
-    delays the whole answer. Both sends run until one has answered.
+    Each searcher pauses from time to time, and a pause in one of a query's
+    shards delays the whole answer. Both sends run until one is answered.
     """
     request = leg.request
     if request.done or not leg.is_open or leg.sends != sends:
         return
-    if not _has_attempts(tables, leg) or request.is_trial:
+    if not _has_attempts_left(tables, leg) or request.is_trial:
         return
     budget = tables.budget_of(leg.service)
     if (
@@ -170,26 +177,27 @@
 
 
 def may_send_more(tables: Tables, leg: Leg) -> bool:
-    """Whether the rules allow one more searcher for this leg now."""
+    """Whether the leg may be sent to one more searcher now."""
     if leg.runs and not leg.request.is_confirmed:
         return False
-    return _has_attempts(tables, leg)
+    return _has_attempts_left(tables, leg)
 
 
-def _has_attempts(tables: Tables, leg: Leg) -> bool:
+def _has_attempts_left(tables: Tables, leg: Leg) -> bool:
     request = leg.request
     return (
         leg.runs < request.route.attempts
-        and leg.sends < MOST_SENDS
+        and leg.sends < MAX_SENDS
         and tables.now < request.ends_at
     )
 
 
 def repeat(tables: Tables, leg: Leg, outcome: Outcome, *, stale: bool) -> bool:
-    """Sends again after a send that ended without a good answer.
+    """Retries a leg after a send that ended without a good answer.
 
     Returns:
-        Whether the leg goes on: by a new send, or by one still under way.
+        Whether the leg is still open: retried, queued, or with another send
+        under way.
     """
     if leg.attempts or leg.waiting:
         return True
@@ -203,17 +211,17 @@
         return True
     if not may_send_more(tables, leg):
         return False
-    if not _may_repeat(tables, leg, outcome, stale=stale):
+    if not _may_retry(tables, leg, outcome, stale=stale):
         return False
     if send(tables, leg):
         return True
-    return _send_to_asked(tables, leg, outcome)
+    return _send_to_tried(tables, leg, outcome)
 
 
-def _may_repeat(
+def _may_retry(
     tables: Tables, leg: Leg, outcome: Outcome, *, stale: bool
 ) -> bool:
-    """Counts a second send, unless the first never reached a searcher."""
+    """Takes a retry from the budget, unless the request was never sent."""
     if outcome is Outcome.NOT_SENT:
         return True
     budget = tables.budget_of(leg.service)
@@ -224,31 +232,32 @@
 
 
 def send_afresh(tables: Tables, leg: Leg) -> bool:
-    """Sends to the searcher that had dropped an idle connection.
+    """Sends again to a searcher that had closed an idle connection.
 
-    It is the same searcher, so this is no further attempt: also a route that
-    allows one gets its answer, where it would end with a broken connection.
-    It is counted as a second send, as a searcher that has the request and
-    breaks off looks the same: uncounted, 244 were sent where 242 are allowed.
+    As it is the same searcher, this is no further attempt: a route that allows
+    one attempt gets an answer too, instead of a broken connection. It counts
+    against the retry budget, because a searcher that received the request and
+    reset the connection looks the same: uncounted, 244 retries were sent where
+    242 are allowed.
     """
-    row = leg.asked[-1]
-    if tables.searchers.get(row.searcher_id) is not row:
+    searcher = leg.asked[-1]
+    if tables.searchers.get(searcher.searcher_id) is not searcher:
         return False
-    if not choosing.is_usable(tables, row):
+    if not choosing.is_usable(tables, searcher):
         return False
-    if not coldstart.has_turn(tables, row):
+    if not coldstart.has_turn(tables, searcher):
         return False
-    if leg.sends >= MOST_SENDS or tables.now >= leg.request.ends_at:
+    if leg.sends >= MAX_SENDS or tables.now >= leg.request.ends_at:
         return False
     tables.budget_of(leg.service).count(tables.now)
     leg.runs -= 1
     leg.asked.pop()
-    _send_to(tables, leg, choosing.Choice(row, 0.0))
+    _send_to(tables, leg, choosing.Choice(searcher, 0.0))
     return True
 
 
-def _send_to_asked(tables: Tables, leg: Leg, outcome: Outcome) -> bool:
-    """Falls back to searchers that were asked before, for lack of others."""
+def _send_to_tried(tables: Tables, leg: Leg, outcome: Outcome) -> bool:
+    """Retries at searchers tried before, as no other one is available."""
     if outcome not in (Outcome.NOT_RUN, Outcome.BROKEN, Outcome.ANSWERED):
         return False
     leg.asked.clear()
@@ -256,7 +265,7 @@
 
 
 def cancel(tables: Tables, attempt: Attempt) -> None:
-    """Closes a send; what it took so far is learnt."""
+    """Cancels a send that is under way."""
     if tables.attempts.pop(attempt.attempt_id, None) is None:
         return
     attempt.searcher.attempts.pop(attempt.attempt_id, None)
