--- a/greengagemoor/forward/budget.py
+++ b/greengagemoor/forward/budget.py
@@ -1,4 +1,4 @@
-"""The budget for sends beyond the first of each request, a service each."""
+"""The budget of a service for retries and hedges."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 
 import attrs
 
-SLICES = 10
-"""Parts of a window. The oldest sends are forgotten up to a part late, never
-early, so the allowance holds for windows that begin anywhere."""
+WINDOW_SLICES = 10
+"""Slices of a window. Sends expire up to one slice late, never early, so the
+allowance holds for each window, whenever it begins."""
 START_SHARE = 0.3
-"""Share of the slack that a process has at its start. All entries may be killed
-just after they have spent theirs: 1.3 times the 0.85 of the slack that they
-use, less what they leave of the ratio, is the whole allowance."""
+"""Share of the slack that a process has at its start. If all entries are killed
+just after they have spent their slack, they spend 1.3 times of it in a window;
+as they use 0.85 of the slack and not all of the ratio, that is still within the
+whole allowance."""
 
 
 @attrs.define(eq=False, repr=False)
@@ -24,25 +25,25 @@
 
 @attrs.define(eq=False, repr=False)
 class SendBudget:
-    """An allowance for each window of time, of requests that came here.
+    """Bounds the extra sends (retries and hedges) in each sliding window.
 
-    Without it, second sends grow exactly when searchers are slow: one would
-    see load double in a brown-out. The allowance is a share of the requests
-    seen here and a part of a fixed slack, so the sum over all entries keeps
-    to the whole however many there are and however traffic moves between
-    them. A bucket would have to count its burst on top of a window's refill,
-    so most of the slack would lie idle.
+    Without it extra sends would increase when searchers are slow, and load
+    would double in a brown-out. The allowance is a share of the requests
+    received here plus a part of a fixed slack, so the sum over all entries
+    stays bounded whatever their number and however traffic moves between
+    them. A token bucket would have to count its burst on top of a window's
+    refill, so most of the slack would stay unused.
 
     Attributes:
-        ratio: second sends for each request.
-        slack: second sends of this entry in each window besides.
+        ratio: extra sends allowed for each request.
+        slack: further extra sends of this entry in each window.
         window_s: length of the window in seconds.
-        started_at: when this process began to count. What an earlier process
-            of this entry has sent is unknown, so the slack grows over the
-            first window from ``START_SHARE``.
-        rounding: from 0 to 1, added to the allowance before it is cut to whole
-            sends. Drawn by lot, it makes the sum over many entries exact,
-            where each alone would lose half a send.
+        started_at: when this process began to count. As it is unknown what an
+            earlier process of this entry sent, the slack grows from
+            ``START_SHARE`` to the whole within the first window.
+        rounding: from 0 to 1, added to the allowance before it is rounded down
+            to whole sends. Drawn at random, it makes the sum over many entries
+            exact, where each would lose half a send on average.
     """
 
     ratio: float
@@ -56,43 +57,43 @@
 
     def note_request(self, now: float) -> None:
         """Counts a first send."""
-        self._current(now).requests += 1
+        self._current_slice(now).requests += 1
         self._requests += 1
 
     def left(self, now: float) -> float:
-        """Returns how many second sends may go out now."""
-        self._current(now)
+        """Returns how many extra sends are allowed now."""
+        self._current_slice(now)
         age = max(0.0, now - self.started_at)
-        grown = min(1.0, START_SHARE + age / self.window_s)
-        slack = self.slack * grown
+        share = min(1.0, START_SHARE + age / self.window_s)
+        slack = self.slack * share
         return self.ratio * self._requests + slack - self._sends
 
     def share_left(self, now: float) -> float:
-        """Returns which part of this window's allowance is left, 0 to 1."""
+        """Returns the share of this window's allowance left, from 0 to 1."""
         left = self.left(now)
-        whole = left + self._sends
-        return max(0.0, left / whole) if whole > 0 else 0.0
+        allowance = left + self._sends
+        return max(0.0, left / allowance) if allowance > 0 else 0.0
 
     def may_take(self, now: float) -> bool:
-        """Whether one more second send may go out."""
+        """Whether one more extra send is allowed."""
         return self.left(now) + self.rounding >= 1.0
 
     def take(self, now: float) -> bool:
-        """Counts one more second send; False if there is none left."""
+        """Counts one more extra send; False if none is allowed."""
         if not self.may_take(now):
             return False
         self.count(now)
         return True
 
     def count(self, now: float) -> None:
-        """Counts a second send that goes out in any case."""
-        self._current(now).sends += 1
+        """Counts an extra send without a check of the allowance."""
+        self._current_slice(now).sends += 1
         self._sends += 1
 
-    def _current(self, now: float) -> _Slice:
-        number = int(now / self.window_s * SLICES)
+    def _current_slice(self, now: float) -> _Slice:
+        number = int(now / self.window_s * WINDOW_SLICES)
         slices = self._slices
-        while slices and slices[0].number < number - SLICES:
+        while slices and slices[0].number < number - WINDOW_SLICES:
             oldest = slices.popleft()
             self._requests -= oldest.requests
             self._sends -= oldest.sends
--- a/greengagemoor/forward/leaving.py
+++ b/greengagemoor/forward/leaving.py
@@ -1,4 +1,4 @@
-"""How long an answer that is due takes to leave this process."""
+"""Measures how late due answers are written to their callers."""
 
 from __future__ import annotations
 
@@ -6,46 +6,53 @@
 
 import attrs
 
-KEPT = 16
-"""Answers remembered; one gather in three seconds comes to an entry of many."""
+KEPT_DELAYS = 16
+"""Number of delays kept. Where there are many entries, each of them receives a
+gather about every three seconds."""
 PRIOR_S = 0.012
-"""At least, until so many have left: an entry of many sees a dozen gathers in
-a minute. A guess 10 ms too long costs each answer that waits a part of a
-hundredth; one that is too short makes it late."""
-SHARE = 0.8
-"""Of the answers that must leave in time. By the longest delay instead, one
-stall would take time from the searchers of all answers after it."""
-LONGEST_S = 0.06
-"""What took longer was a freeze or the like, which the next answer won't meet;
-kept, it would make a minute of answers leave parts out."""
-MOST_OF_OBJECTIVE = 0.15
-"""A quick route keeps most of its objective for its searchers."""
+"""Least delay assumed, in seconds, until that many answers were written: with
+many entries, each of them receives a dozen gathers a minute. A guess that is
+10 ms too long costs at most a hundredth of each answer that waits; one that is
+too short makes it late."""
+USED_QUANTILE = 0.8
+"""Quantile of the delays that is used. With the longest delay instead, a single
+stall would shorten the searchers' time in all answers after it."""
+MAX_DELAY_S = 0.06
+"""Delays above this, in seconds, are discarded: they come from a freeze of the
+process, which doesn't predict the next delay. Kept, one would make answers omit
+shards for a minute."""
+MAX_SHARE_OF_OBJECTIVE = 0.15
+"""Largest share of a route's objective that the margin may take, so that fast
+routes leave most of it to their searchers."""
 
 
 @attrs.define(eq=False, repr=False)
 class LeavingDelay:
-    """Learns how much sooner an answer must be given to arrive in time.
+    """Estimates how long before its time an answer must be completed.
 
-    An answer that waits for its last shards is given at the last moment. What
-    this process then takes (a timer that fires late as the loop is busy with
-    other requests, the merge, the write) makes it late, and a late answer is
-    worth a tenth. A few shards of a hundredth each are worth less.
+    An answer that waits for its last shards is completed when it is due. The
+    time that this process then takes (a timer that fires late as the loop is
+    busy with other requests, the merge, the write) makes it late, and a late
+    answer is worth a tenth of one in time. Waiting less costs a few shards,
+    each worth a hundredth of the answer.
     """
 
-    _recent: deque[float] = attrs.field(factory=lambda: deque(maxlen=KEPT))
+    _recent: deque[float] = attrs.field(
+        factory=lambda: deque(maxlen=KEPT_DELAYS)
+    )
 
     def note(self, delay_s: float) -> None:
-        """Takes in how long after it was due an answer left."""
-        if delay_s <= LONGEST_S:
+        """Records how long after it was due an answer was written."""
+        if delay_s <= MAX_DELAY_S:
             self._recent.append(delay_s)
 
     @property
     def usual_s(self) -> float:
-        """Most answers leave within it."""
+        """Time in seconds within which most due answers are written."""
         recent = sorted(self._recent) or [PRIOR_S]
-        usual = recent[int(SHARE * (len(recent) - 1))]
-        return usual if len(recent) == KEPT else max(usual, PRIOR_S)
+        usual = recent[int(USED_QUANTILE * (len(recent) - 1))]
+        return usual if len(recent) == KEPT_DELAYS else max(usual, PRIOR_S)
 
     def margin_s(self, objective_s: float) -> float:
-        """Returns how long before its time an answer should be given."""
-        return min(self.usual_s, MOST_OF_OBJECTIVE * objective_s)
+        """Returns how many seconds before its time an answer is due."""
+        return min(self.usual_s, MAX_SHARE_OF_OBJECTIVE * objective_s)
--- a/greengagemoor/forward/policy.py
+++ b/greengagemoor/forward/policy.py
@@ -10,22 +10,27 @@
     """Limits and delays of the forward decider; times in seconds.
 
     Attributes:
-        retry_ratio: second sends for each request of a service.
-        retry_slack: second sends of all entries in each window besides.
-        retry_window_s: the window.
-        hedge_quantile: a send later than this share of the route's answers
-            gets a second one,
-        hedge_medians: or later than so many medians: slow searchers raise the
-            quantile to their own times.
-        caller_way_s: what a caller's clock spends on the network where the
-            system doesn't tell the round trip: a connection and two ways.
-        caller_read_s: the same until a busy process reads what is there.
-        most_way_share: share of an objective that the way may take: behind a
-            link that loses packets it would leave no time for searchers.
+        retry_ratio: retries and hedges allowed for each request of a service.
+        retry_slack: further retries and hedges of all entries per window.
+        retry_window_s: length of the budget's window.
+        hedge_quantile: quantile of the route's response times after which a
+            send is hedged.
+        hedge_medians: upper bound of that delay, in medians of the route, as
+            slow searchers raise the quantile to their own times.
+        caller_way_s: time that a caller's request and answer spend on the
+            network, where the system doesn't report the round-trip time: the
+            connection's handshake and one way in each direction.
+        caller_read_s: time from a request's arrival at a busy process until
+            it is read.
+        most_way_share: largest share of an objective reserved for the
+            network: a link that loses packets would otherwise leave no time
+            for searchers.
         linger_s: how long a send whose answer is no longer needed may go on
             before its connection is closed.
-        busy_share: share of the objective that a request waits for a place.
-        places: the number of entries that share a connection cap, at least.
+        busy_share: share of the objective that a request waits for a free
+            connection.
+        places: least number of entries among which a connection cap and the
+            retry slack are divided.
     """
 
     retry_ratio: float = 0.17
--- a/greengagemoor/forward/timing.py
+++ b/greengagemoor/forward/timing.py
@@ -1,4 +1,4 @@
-"""What sends usually take: by route, and how searchers differ from it."""
+"""Response times by route, and the slowness of searchers relative to them."""
 
 from __future__ import annotations
 
@@ -8,69 +8,74 @@
 
 import attrs
 
-KEPT = 256
-"""Answers remembered for each route: some seconds of a calm rate."""
-LEAST_KEPT = 20
-SPREAD = 1.8
-"""Stands in for the spread until enough answers are known: a log-normal work
-time of sigma 0.35 has its 0.95 quantile at 1.8 times its mean."""
-
-
-LEAST_WEIGHT = 0.15
-"""How much of an answer is taken over where answers are frequent."""
+KEPT_SAMPLES = 256
+"""Response times kept for each route: a few seconds of normal traffic."""
+MIN_SAMPLES = 20
+"""Number of response times below which quantiles are estimated."""
+UPPER_QUANTILE_RATIO = 1.8
+"""Ratio of an upper quantile to the median, assumed until enough answers came:
+the 0.95 quantile of log-normal times of sigma 0.35 is 1.8 times their mean."""
+MIN_WEIGHT = 0.15
+"""Least weight of an answer in the smoothed slowness; it applies where answers
+are frequent."""
 MEMORY_S = 2.0
-"""An answer this long after the one before it counts for six tenths: with many
-entries each sees a searcher only every few seconds, and by small steps it would
-learn of a slow spell when that is over."""
+"""Time constant of the smoothed slowness in seconds: an answer this long after
+the previous one has a weight of 0.6. With many entries, each of them gets an
+answer from a searcher only every few seconds; with small weights it would find
+a searcher slow when it no longer is."""
 
 
 class RouteTimes:
-    """Times of the last answers on one route, as quantiles."""
+    """Quantiles of the last response times on one route."""
 
     def __init__(self, guess_s: float):
-        """Starts from a guess, until answers are known."""
+        """Starts without answers.
+
+        Args:
+            guess_s: median in seconds assumed until enough answers came.
+        """
         self._guess = guess_s
         self._recent: deque[float] = deque()
         self._sorted: list[float] = []
 
     def note(self, elapsed_s: float) -> None:
-        """Adds the time of an answer."""
+        """Records the response time of an answer in seconds."""
         self._recent.append(elapsed_s)
         bisect.insort(self._sorted, elapsed_s)
-        if len(self._recent) > KEPT:
+        if len(self._recent) > KEPT_SAMPLES:
             oldest = self._recent.popleft()
             del self._sorted[bisect.bisect_left(self._sorted, oldest)]
 
     def quantile(self, share: float) -> float:
-        """Returns the time within which that share of answers came."""
-        if len(self._sorted) < LEAST_KEPT:
-            return self._guess * (SPREAD if share > 0.5 else 1.0)
+        """Returns the given quantile in seconds, ``share`` from 0 to 1."""
+        if len(self._sorted) < MIN_SAMPLES:
+            return self._guess * (UPPER_QUANTILE_RATIO if share > 0.5 else 1.0)
         return self._sorted[int(share * (len(self._sorted) - 1))]
 
     @property
     def median(self) -> float:
-        """Half of the answers came within it."""
+        """Median response time in seconds."""
         return self.quantile(0.5)
 
 
 @attrs.define(eq=False, repr=False)
 class Slowness:
-    """How much longer a searcher takes than the route's median, smoothed.
+    """Smoothed ratio of a searcher's response times to its routes' medians.
 
     Attributes:
-        value: 1 is usual.
+        value: the ratio; 1 is normal.
     """
 
     value: float = 1.0
 
     def note(self, ratio: float, age_s: float) -> None:
-        """Takes in the time of an answer over the route's median.
+        """Records an answer.
 
         Args:
-            ratio: that time.
-            age_s: since the answer before it; the older what is known, the
-                more the new one counts.
+            ratio: its response time over the median of its route.
+            age_s: seconds since the previous answer; the longer, the more
+                weight the new answer has.
         """
         bounded = min(max(ratio, 0.2), 20.0)
-        weight = max(LEAST_WEIGHT, 1.0 - math.exp(-age_s / MEMORY_S))
+        weight = max(MIN_WEIGHT, 1.0 - math.exp(-age_s / MEMORY_S))
         self.value += weight * (bounded - self.value)
--- a/tests/test_forward/test_load.py
+++ b/tests/test_forward/test_load.py
@@ -118,7 +118,7 @@
 
     def test_leave_in_time(self, monkeypatch):
         figures = Run(self.BUSY, 0.15, seed=1).play(SECONDS)
-        monkeypatch.setattr(leaving, "MOST_OF_OBJECTIVE", 0.0)
+        monkeypatch.setattr(leaving, "MAX_SHARE_OF_OBJECTIVE", 0.0)
         before = Run(self.BUSY, 0.15, seed=1).play(SECONDS)
         whole = Run(self.SHEET, 0.15, seed=1).play(SECONDS)
         assert figures.credit > before.credit
