--- a/bench/mutants_of_places.py
+++ b/bench/mutants_of_places.py
@@ -50,7 +50,7 @@
     Mutant(
         "cold searchers: a part of the entries",
         "forward/coldstart.py",
-        "    return _draw(tables, row) < share * LEAST_GAP_S",
+        "    return _hash(tables, row) < rate * SEND_GAP_S",
         "    return True",
         (FORWARD + "test_coldstart.py",),
     ),
@@ -99,7 +99,7 @@
     Mutant(
         "parts: ends are told at once",
         "forward/aggregating.py",
-        "    if dead or (answered and is_due):\n",
+        "    if failed or (answered and is_due):\n",
         "    if answered and is_due:\n",
         PARTS,
     ),
--- a/greengagemoor/forward/aggregating.py
+++ b/greengagemoor/forward/aggregating.py
@@ -1,4 +1,4 @@
-"""What an entry tells of shards that it asks for another entry."""
+"""Reports results of the shards that this entry queries for another entry."""
 
 from __future__ import annotations
 
@@ -21,34 +21,34 @@
 
 
 def tell(tables: Tables, request: Request) -> None:
-    """Tells what was not told yet, in one message.
+    """Reports all results that were not reported yet, in one message.
 
-    Before they are due answers wait for each other: told one by one, they
-    would take as much of the asking entry's link as from the searchers. That
-    a shard will have none is told at once: where too many have none, a caller
-    that hears of it soon has time for another try.
+    Answers are merged until they are due: sent one by one, they would take as
+    much of the asking entry's link as from the searchers themselves. A shard
+    without an answer is reported at once: if too many have none, the caller is
+    notified early and has time to retry.
     """
     is_due = tables.now >= request.give_at
-    answered = [leg for leg in _untold(request) if leg.answer is not None]
-    dead = [leg for leg in _untold(request) if leg.dead]
-    if dead or (answered and is_due):
-        msg = _merged(request, answered if is_due else [])
-        request.origin.told.update(leg.service for leg in dead)
-        _send(tables, request, attrs.evolve(msg, missing=_ends(dead)))
+    answered = [leg for leg in _unreported(request) if leg.answer is not None]
+    failed = [leg for leg in _unreported(request) if leg.dead]
+    if failed or (answered and is_due):
+        msg = _merge_answers(request, answered if is_due else [])
+        request.origin.told.update(leg.service for leg in failed)
+        _send(tables, request, attrs.evolve(msg, missing=_leg_ends(failed)))
 
 
 def close(tables: Tables, request: Request, *, wanted: bool) -> None:
-    """Ends a part.
+    """Ends a part (the shards queried for another entry) and reports the rest.
 
     Args:
         tables: the tables.
         request: the part.
-        wanted: whether the asking entry still waits for it.
+        wanted: whether the asking entry still waits for the results.
     """
     origin = request.origin
     tables.origins.pop((origin.peer, origin.part_id), None)
     if wanted:
-        _send(tables, request, _last(request))
+        _send(tables, request, _final_message(request))
     tables.out.append(
         PartClosed(
             request.token,
@@ -63,23 +63,25 @@
     )
 
 
-def _last(request: Request) -> PartAnswered:
-    untold = _untold(request)
-    merged = _merged(request, [leg for leg in untold if leg.answer is not None])
-    missing = _ends(leg for leg in untold if leg.answer is None)
+def _final_message(request: Request) -> PartAnswered:
+    rest = _unreported(request)
+    merged = _merge_answers(
+        request, [leg for leg in rest if leg.answer is not None]
+    )
+    missing = _leg_ends(leg for leg in rest if leg.answer is None)
     return attrs.evolve(merged, over=True, missing=missing, sends=request.sends)
 
 
-def _untold(request: Request) -> list[Leg]:
-    told = request.origin.told
-    return [leg for leg in request.legs if leg.service not in told]
+def _unreported(request: Request) -> list[Leg]:
+    reported = request.origin.told
+    return [leg for leg in request.legs if leg.service not in reported]
 
 
-def _ends(legs: Iterable[Leg]) -> tuple[LegEnd, ...]:
+def _leg_ends(legs: Iterable[Leg]) -> tuple[LegEnd, ...]:
     return tuple(LegEnd(leg.service, leg.runs) for leg in legs)
 
 
-def _merged(request: Request, legs: list[Leg]) -> PartAnswered:
+def _merge_answers(request: Request, legs: list[Leg]) -> PartAnswered:
     merge = mergers.get(GREATEST_RECORDS)
     request.origin.told.update(leg.service for leg in legs)
     return PartAnswered(
--- a/greengagemoor/forward/arrivals.py
+++ b/greengagemoor/forward/arrivals.py
@@ -1,4 +1,4 @@
-"""Callers' requests as they arrive: refused at once, held or sent."""
+"""Accepts callers' requests: rejects, holds or sends each."""
 
 from __future__ import annotations
 
@@ -24,16 +24,18 @@
 
 SIGNATURE_BYTES = 32
 HEAD_BYTES = 300
-"""Of an answer: its status line, headers, and what the network adds."""
-AHEAD_BYTES = 2500
-"""Usually on the link before an answer: sends of the next query."""
+"""Size of an answer's status line and headers, network headers included."""
+QUEUED_BYTES = 2500
+"""Bytes usually queued on the link before an answer, by sends of the next
+query."""
 END_MARGIN_S = 0.01
-"""An answer leaves this long before the caller gives up."""
+"""Seconds before the time limit at which a request ends, so that its answer
+reaches the caller in time."""
 
 
 def take(tables: Tables, msg: Arrived) -> None:
-    """Takes a request in: refuses it at once, holds it, or sends it."""
-    request = _open(tables, msg)
+    """Rejects a request at once, holds it, or sends it."""
+    request = _create_request(tables, msg)
     tables.requests[msg.token] = request
     if tables.now >= request.ends_at:
         completion.finish(tables, request, Ending.NOT_RUN_DEADLINE)
@@ -49,27 +51,28 @@
     else:
         starting.start(tables, request)
     if not request.done:
-        _arm(tables, request)
+        _set_timers(tables, request)
 
 
-def _open(tables: Tables, msg: Arrived) -> Request:
-    """Makes the row, with the times by which it must end."""
+def _create_request(tables: Tables, msg: Arrived) -> Request:
+    """Creates the request's row, with the times by which it must end."""
     route = msg.route
     now = tables.now
     waited = 0.0
-    trip = _caller_trip_s(tables, msg)
+    overhead = _caller_overhead_s(tables, msg)
     ends_at = now + route.time_limit_s - END_MARGIN_S
     if msg.patience_s is not None:
-        # A caller that comes again has less patience left than others on
-        # this route; the difference is what it has waited already.
-        most = max(tables.patience.get(route.name, 0.0), msg.patience_s)
-        tables.patience[route.name] = most
-        waited = most - msg.patience_s
-        ends_at = min(ends_at, now + msg.patience_s - trip / 2)
-    left = route.objective_s - waited - trip
+        # A caller that retries sends a shorter deadline than others on this
+        # route; the difference is the time that it has already waited.
+        longest = max(tables.patience.get(route.name, 0.0), msg.patience_s)
+        tables.patience[route.name] = longest
+        waited = longest - msg.patience_s
+        ends_at = min(ends_at, now + msg.patience_s - overhead / 2)
+    left = route.objective_s - waited - overhead
     left -= tables.leaving.margin_s(route.objective_s)
     if left <= 0:
-        # Late already: a whole answer is worth one more objective.
+        # The objective is missed already: a complete answer is worth waiting
+        # for one more objective.
         left = route.objective_s
     request = Request(
         token=msg.token,
@@ -84,22 +87,26 @@
     return request
 
 
-def _caller_trip_s(tables: Tables, msg: Arrived) -> float:
-    """Returns what the caller's clock runs while nothing is asked here."""
+def _caller_overhead_s(tables: Tables, msg: Arrived) -> float:
+    """Returns the caller's time outside this process, in seconds.
+
+    That is the network, the answer on this entry's link, and the time until
+    the request is read.
+    """
     policy = tables.policy
     way = policy.caller_way_s if msg.way_s is None else msg.way_s
     most = policy.most_way_share * msg.route.objective_s
-    way = min(way + _sending_s(tables, msg.route), most)
+    way = min(way + _transmission_s(tables, msg.route), most)
     return way + policy.caller_read_s
 
 
-def _sending_s(tables: Tables, route: Route) -> float:
-    """Returns how long the answer to a gather takes on the own link."""
+def _transmission_s(tables: Tables, route: Route) -> float:
+    """Returns the seconds that a gather's answer takes on this entry's link."""
     if route.gather is None or not tables.link_bytes_per_s:
         return 0.0
     records = RECORD_BYTES * route.gather.top
     heads = HEAD_BYTES + SIGNATURE_BYTES * len(route.gather.services)
-    return (AHEAD_BYTES + records + heads) / tables.link_bytes_per_s
+    return (QUEUED_BYTES + records + heads) / tables.link_bytes_per_s
 
 
 def _services(tables: Tables, route: Route) -> tuple[str, ...]:
@@ -113,10 +120,10 @@
 
 
 def _can_serve(tables: Tables, request: Request) -> bool:
-    """Whether enough services have a searcher, before any is asked.
+    """Whether enough services have a usable searcher.
 
-    When all searchers of a shard are down, an answer below the floor
-    would be made of work that is thrown away.
+    Checked before anything is sent: if the coverage can't be reached, the work
+    of the other shards would be wasted.
     """
     usable = sum(
         choosing.has_usable(tables, leg.service) for leg in request.legs
@@ -126,24 +133,27 @@
     return completion.is_enough(request, usable)
 
 
-def _arm(tables: Tables, request: Request) -> None:
+def _set_timers(tables: Tables, request: Request) -> None:
     look = partial(completion.look, tables, request)
     if request.route.gather is not None:
         tables.set_timer(request.give_at, look)
     else:
         busy = tables.policy.busy_share * request.route.objective_s
         at = tables.now + busy
-        tables.set_timer(at, partial(_end_busy, tables, request))
-    tables.set_timer(request.ends_at, partial(_end, tables, request))
+        tables.set_timer(at, partial(_reject_unsent, tables, request))
+    tables.set_timer(request.ends_at, partial(_end_at_limit, tables, request))
 
 
-def _end_busy(tables: Tables, request: Request) -> None:
-    """Refuses what found no place in good time, so that it can go on."""
+def _reject_unsent(tables: Tables, request: Request) -> None:
+    """Rejects a request that found no free connection in time.
+
+    The caller then has time left to retry elsewhere.
+    """
     if not request.done and not request.sends:
         completion.finish(tables, request, _unsent_ending(request))
 
 
-def _end(tables: Tables, request: Request) -> None:
+def _end_at_limit(tables: Tables, request: Request) -> None:
     if request.done:
         return
     is_gather = request.route.gather is not None
--- a/greengagemoor/forward/coldstart.py
+++ b/greengagemoor/forward/coldstart.py
@@ -1,9 +1,9 @@
-"""How much a cold searcher is sent, by all entries together.
+"""Limits the request rate at a cold searcher over all entries.
 
-A searcher that has just started bears few requests a second and ends at many
-more. Entries don't agree on each send: a part of them, drawn by name, may use
-a cold searcher, each at a pace of its own, so that the sum keeps to the bound
-through joins, kills and cuts.
+A searcher that has just started can serve few requests a second, later many
+more. Entries don't coordinate single sends: a hash of names selects the entries
+that may use a cold searcher, and each of these limits its own rate, so that the
+sum stays within the bound when entries join, are killed or are partitioned.
 """
 
 from __future__ import annotations
@@ -14,41 +14,45 @@
 if TYPE_CHECKING:
     from greengagemoor.forward.tables import Searcher, Tables
 
-PACE = 0.6
-"""Share of what a cold searcher bears that is used: how many entries are drawn
-for it varies, and sends of one second may arrive in another."""
-LEAST_GAP_S = 1.1
-"""Between two sends of one entry; two of them never arrive within a second."""
+USED_SHARE = 0.6
+"""Share of a cold searcher's rate that is used, as the number of entries that
+the hash selects varies, and sends of one second may arrive in the next."""
+SEND_GAP_S = 1.1
+"""Seconds between two sends of an entry to a cold searcher, unless its rate is
+higher: two sends with this gap never arrive within one second."""
 
 
 def may_use(tables: Tables, row: Searcher) -> bool:
-    """Whether this entry is one of those that may use a cold searcher."""
-    share = _share(tables, row)
-    if share is None or share >= 1.0:
+    """Whether this entry may use a searcher; always if it isn't cold."""
+    rate = _rate(tables, row)
+    if rate is None or rate >= 1.0:
         return True
-    return _draw(tables, row) < share * LEAST_GAP_S
+    return _hash(tables, row) < rate * SEND_GAP_S
 
 
 def has_turn(tables: Tables, row: Searcher) -> bool:
-    """Whether a searcher, if it is cold, may get the next send from here."""
-    share = _share(tables, row)
-    if share is None:
+    """Whether the rate limit allows a send to the searcher now."""
+    rate = _rate(tables, row)
+    if rate is None:
         return True
-    gap = min(LEAST_GAP_S, 1.0 / share)
+    gap = min(SEND_GAP_S, 1.0 / rate)
     return tables.now - row.sent_at >= gap
 
 
-def _share(tables: Tables, row: Searcher) -> float | None:
-    """Returns an entry's part of a cold searcher's pace, None for no bound."""
+def _rate(tables: Tables, row: Searcher) -> float | None:
+    """Returns an entry's share of a cold searcher's rate, None if unbounded.
+
+    The share is in requests a second.
+    """
     if tables.now >= row.cold_until:
         return None
     rules = tables.services.get(row.service)
     if rules is None or not rules.cold_per_s:
         return None
-    return PACE * rules.cold_per_s / tables.sharers
+    return USED_SHARE * rules.cold_per_s / tables.sharers
 
 
-def _draw(tables: Tables, row: Searcher) -> float:
-    """Returns a number from 0 to 1, the same after a restart of this entry."""
+def _hash(tables: Tables, row: Searcher) -> float:
+    """Returns a hash from 0 to 1, the same after a restart of this entry."""
     names = f"{tables.name}|{row.searcher_id}|{row.start}"
     return zlib.crc32(names.encode()) / 2**32
--- a/greengagemoor/forward/completion.py
+++ b/greengagemoor/forward/completion.py
@@ -1,4 +1,4 @@
-"""When a request is over, and with which answer."""
+"""Decides when a request ends, and with which answer."""
 
 from __future__ import annotations
 
@@ -18,8 +18,10 @@
     from greengagemoor.forward.tables import Leg, Request, Tables
 
 EPSILON = 1e-9
+"""Tolerance of the comparison of shard counts, for rounding errors."""
 TRIAL_LINGER_S = 2.0
-"""Longest time until a trial is decided without an answer."""
+"""Seconds for which the send of a trial goes on after its request has ended; a
+trial without an answer is decided after that time at most."""
 RETRY_AFTER_S = {
     Ending.NOT_RUN_NO_SEARCHER: 0.25,
     Ending.NOT_RUN_BUSY: 0.1,
@@ -28,34 +30,37 @@
     Ending.NOT_RUN_SUSPECT: 0.3,
     Ending.NOT_RUN_QUARANTINED: 60.0,
 }
-"""Seconds after which a caller should come back: a searcher that restarts
-takes about as long as the longest pause, a queue a few work times."""
+"""Seconds after which a caller should retry: a searcher's restart takes about
+as long as the longest pause of one, a queue as long as a few requests."""
 
 
 def look(tables: Tables, request: Request) -> None:
-    """Ends a request if it can be ended now."""
+    """Ends a request if its outcome is certain or it is due."""
     if request.done:
         return
     if request.origin is not None:
-        _look_part(tables, request)
+        _check_part(tables, request)
     elif request.route.gather is None:
-        _look_single(tables, request)
+        _check_single(tables, request)
     else:
-        _look_gather(tables, request)
+        _check_gather(tables, request)
 
 
-def _look_single(tables: Tables, request: Request) -> None:
+def _check_single(tables: Tables, request: Request) -> None:
     leg = request.legs[0]
     if leg.answer is not None:
         finish(tables, request, Ending.ANSWERED)
     elif leg.dead and leg.failure is not None:
         finish(tables, request, Ending.SEARCHER_FAILED)
     elif leg.dead:
-        finish(tables, request, _failure(leg))
+        finish(tables, request, _ending_without_answer(leg))
 
 
-def _failure(leg: Leg) -> Ending:
-    """Names the end of a leg without any answer; *not run* must be true."""
+def _ending_without_answer(leg: Leg) -> Ending:
+    """Returns the ending of a leg without an answer.
+
+    *Not run* only if it is certain that no searcher ran the request.
+    """
     if leg.broken or leg.runs > 0:
         return Ending.BROKEN
     if leg.sends:
@@ -63,16 +68,16 @@
     return Ending.NOT_RUN_NO_SEARCHER
 
 
-def _look_gather(tables: Tables, request: Request) -> None:
+def _check_gather(tables: Tables, request: Request) -> None:
     if not request.is_open or (
         tables.now >= request.give_at and is_enough(request, request.answered)
     ):
         _finish_gather(tables, request)
-    elif _hopeless(request):
+    elif _is_coverage_impossible(request):
         finish(tables, request, Ending.BELOW_COVERAGE)
 
 
-def _look_part(tables: Tables, request: Request) -> None:
+def _check_part(tables: Tables, request: Request) -> None:
     if request.is_open:
         aggregating.tell(tables, request)
     else:
@@ -80,12 +85,12 @@
 
 
 def is_enough(request: Request, answered: int) -> bool:
-    """Whether so many shards make an answer."""
-    least = request.route.gather.least_coverage * len(request.legs)
-    return answered > 0 and answered >= least - EPSILON
+    """Whether that many answered shards reach the required coverage."""
+    required = request.route.gather.least_coverage * len(request.legs)
+    return answered > 0 and answered >= required - EPSILON
 
 
-def _hopeless(request: Request) -> bool:
+def _is_coverage_impossible(request: Request) -> bool:
     possible = len(request.legs) - request.given_up
     return not is_enough(request, possible)
 
@@ -102,7 +107,10 @@
 
 
 def finish(tables: Tables, request: Request, ending: Ending) -> None:
-    """Gives the final answer, and lets go of what still runs."""
+    """Sends the final answer.
+
+    Remaining sends are cancelled, at once or after they may have lingered.
+    """
     request.done = True
     tables.requests.pop(request.token, None)
     answered = ending in (Ending.ANSWERED, Ending.PARTIAL)
@@ -116,24 +124,25 @@
         for attempt in list(leg.attempts):
             if linger_s:
                 at = tables.now + linger_s
-                cut = partial(_cut_lingering, tables, attempt)
-                tables.set_timer(at, cut)
+                callback = partial(_cancel_lingering, tables, attempt)
+                tables.set_timer(at, callback)
             else:
                 sending.cancel(tables, attempt)
 
 
 def _linger_s(tables: Tables, request: Request, ending: Ending) -> float:
-    """Returns how long sends that still run are left alone."""
+    """Returns the seconds after which remaining sends are cancelled."""
     if request.is_trial:
-        # Its end is what all entries wait for.
+        # All entries wait for the result of the trial.
         return TRIAL_LINGER_S
     if ending in (Ending.ANSWERED, Ending.PARTIAL):
-        # A second later its answer is here, and the connection stays.
+        # Most answers still come within this time, and their connections
+        # can be kept.
         return tables.policy.linger_s
     return 0.0
 
 
-def _cut_lingering(tables: Tables, attempt) -> None:
+def _cancel_lingering(tables: Tables, attempt) -> None:
     if attempt.attempt_id in tables.attempts:
         ended.note_time(tables, attempt)
         sending.cancel(tables, attempt)
@@ -176,9 +185,9 @@
 
 
 def _describe(request: Request) -> str:
-    """Names, for the log, the services without an answer and the latest one."""
+    """Returns, for the log, the services without an answer and the last one."""
     missing = (leg for leg in request.legs if leg.answer is None)
-    words = [f"{leg.service}:{_state(leg)}" for leg in missing]
+    words = [f"{leg.service}:{_leg_state(leg)}" for leg in missing]
     answered = [leg for leg in request.legs if leg.answer is not None]
     if answered:
         last = max(answered, key=lambda leg: leg.answered_at)
@@ -187,7 +196,7 @@
     return ",".join(words)
 
 
-def _state(leg: Leg) -> str:
+def _leg_state(leg: Leg) -> str:
     if leg.waiting:
         return "waits"
     if leg.attempts:
@@ -203,12 +212,13 @@
 
 
 def end_leg(tables: Tables, leg: Leg, outcome: Outcome, *, stale: bool) -> None:
-    """Goes on after a send ended: again, or the leg is given up."""
+    """Retries a leg after its send ended, or gives it up."""
     request = leg.request
     if leg.answer is not None:
         proof.release(tables, request)
     elif request.is_unproved and not (leg.attempts or leg.waiting):
-        # A searcher that dropped an idle connection can't be ended by it.
+        # A closed idle connection is no sign that the request crashed its
+        # searcher.
         if not (stale and sending.send_afresh(tables, leg)):
             proof.wait(tables, leg, outcome)
     elif not sending.repeat(tables, leg, outcome, stale=stale):
--- a/greengagemoor/forward/decider.py
+++ b/greengagemoor/forward/decider.py
@@ -1,4 +1,4 @@
-"""The forward decider: requests in, sends and answers out."""
+"""The forward decider: maps input messages to sends and answers."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class ForwardDecider:
-    """Places, repeats and merges; see ``forward.messages`` for its words."""
+    """Selects searchers, retries and merges; see ``forward.messages``."""
 
     def __init__(
         self,
@@ -63,10 +63,10 @@
         """Starts without searchers.
 
         Args:
-            data_centre: where this entry stands.
-            rng: seeded source, for splits and ties.
+            data_centre: the data centre of this entry.
+            rng: seeded random source, for splits and ties.
             policy: limits, or None for the defaults.
-            name: of this entry.
+            name: the name of this entry.
         """
         self.tables = Tables(data_centre, policy or Policy(), rng, name)
 
@@ -74,7 +74,7 @@
         """Runs one tick.
 
         Args:
-            now: seconds of a clock that doesn't go back.
+            now: seconds of a monotonic clock.
             msgs: ``Arrived``, ``CallerGone``, ``AttemptEnded``,
                 ``AnswerLeft``, ``SearcherLearnt``, ``SlowSearchers``,
                 ``EvacuationsLearnt``, ``ProbeEnded``, ``SuspectsLearnt``,
@@ -91,24 +91,27 @@
         tables.started_at = min(tables.started_at, now)
         tables.out = []
         for msg in partintake.without_dropped(msgs):
-            self._take(msg)
+            self._handle(msg)
         tables.run_timers()
         while tables.to_review:
             trials.review(tables, tables.to_review.pop())
         return tables.out
 
     def next_wake(self) -> float | None:
-        """Returns when a tick is due although no message came."""
+        """Returns the time of the next timer, None if there is none."""
         timers = self.tables.timers
         return timers[0][0] if timers else None
 
     def set_routes(self, table: RouteTable) -> None:
-        """Takes in what a new document says of services."""
+        """Applies the service rules of a new document."""
         self.tables.services = table.services
         searchers.set_caps(self.tables)
 
     def set_entries(self, number: int) -> None:
-        """Takes in how many entries share each searcher."""
+        """Updates the number of entries that share each searcher.
+
+        A smaller number than before is ignored.
+        """
         if number <= self.tables.entries:
             return
         self.tables.entries = number
@@ -118,7 +121,7 @@
             budget.slack = slack
 
     def gauges(self) -> dict[str, float]:
-        """Returns numbers of the moment, for metrics."""
+        """Returns the current values of the gauges, for metrics."""
         tables = self.tables
         states = Counter(row.state.value for row in tables.searchers.values())
         waiting = sum(len(queue) for queue in tables.waiting.values())
@@ -137,18 +140,18 @@
         }
 
     def _count_evacuated(self) -> int:
-        places = self.tables.evacuated
+        data_centres = self.tables.evacuated
         rows = self.tables.searchers.values()
-        return sum(row.data_centre in places for row in rows)
+        return sum(row.data_centre in data_centres for row in rows)
 
     @property
     def is_idle(self) -> bool:
         """Whether no request is under way."""
         return not self.tables.requests
 
-    def _take(self, msg: object) -> None:
+    def _handle(self, msg: object) -> None:
         if isinstance(msg, AttemptEnded):
-            self._take_ended(msg)
+            self._handle_ended(msg)
         elif isinstance(msg, Arrived):
             arrivals.take(self.tables, msg)
         elif isinstance(msg, CallerGone):
@@ -159,7 +162,7 @@
             self.tables.leaving.note(msg.delay_s)
         elif isinstance(msg, SearcherLearnt):
             for ended_msg in searchers.take(self.tables, msg.row):
-                self._take_ended(ended_msg)
+                self._handle_ended(ended_msg)
         elif isinstance(msg, SlowSearchers):
             searchers.take_slow(self.tables, msg)
         elif isinstance(msg, EvacuationsLearnt):
@@ -172,14 +175,14 @@
         elif isinstance(msg, TrialDecided):
             trials.take_decided(self.tables, msg)
         elif isinstance(msg, FromPeer):
-            self._take_from_peer(msg.name, msg.payload)
+            self._handle_from_peer(msg.name, msg.payload)
         elif isinstance(msg, PeerUp):
             delegating.take_up(self.tables, msg.name)
         elif isinstance(msg, PeerDown):
             delegating.take_down(self.tables, msg.name)
             partintake.take_down(self.tables, msg.name)
 
-    def _take_from_peer(self, name: str, msg: object) -> None:
+    def _handle_from_peer(self, name: str, msg: object) -> None:
         if isinstance(msg, AskPart):
             partintake.take_ask(self.tables, name, msg)
         elif isinstance(msg, PartConfirmed):
@@ -191,7 +194,7 @@
         elif isinstance(msg, PartAnswered):
             delegating.take_answered(self.tables, name, msg)
 
-    def _take_ended(self, msg: AttemptEnded) -> None:
+    def _handle_ended(self, msg: AttemptEnded) -> None:
         attempt = self.tables.attempts.get(msg.attempt_id)
         leg = ended.take_ended(self.tables, msg)
         if attempt is not None and attempt.leg.request.is_trial:
