--- a/greengagemoor/forward/searchers.py
+++ b/greengagemoor/forward/searchers.py
@@ -1,4 +1,4 @@
-"""Takes in what is learnt of searchers."""
+"""Applies updates about searchers."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 
 
 def take(tables: Tables, row: SearcherRow) -> list[AttemptEnded]:
-    """Takes in a row.
+    """Applies an update of a searcher's row.
 
     Returns:
-        The ends of sends that ran at an earlier start of the searcher.
+        The ends of sends to an earlier process of the searcher.
     """
     if tables.possible_ends:
         evidence.note_row(tables, row)
     known = tables.searchers.get(row.searcher_id)
     if known is not None and known.start != row.start:
-        return _take_new_start(tables, known, row)
-    _take_row(tables, known, row)
+        return _replace_restarted(tables, known, row)
+    _apply_row(tables, known, row)
     return []
 
 
-def _take_row(
+def _apply_row(
     tables: Tables, searcher: Searcher | None, row: SearcherRow
 ) -> None:
     if searcher is None:
@@ -52,17 +52,16 @@
         _remove(tables, searcher)
 
 
-def _take_new_start(
+def _replace_restarted(
     tables: Tables, old: Searcher, row: SearcherRow
 ) -> list[AttemptEnded]:
-    """Forgets what was known of a searcher that has started again.
+    """Replaces the state of a searcher that has restarted.
 
-    The new process knows nothing of what ran at the old one, so those sends
-    would never be answered. They may have run: only what may be repeated goes
-    out again.
+    The new process never answers the sends that ran at the old one. As these
+    may have run, only repeatable requests are retried.
     """
     _remove(tables, old)
-    _take_row(tables, None, row)
+    _apply_row(tables, None, row)
     tables.out.append(CloseIdle(old.address))
     tables.out += [CancelAttempt(attempt_id) for attempt_id in old.attempts]
     reason = "the searcher has started again"
@@ -94,7 +93,7 @@
 
 
 def take_slow(tables: Tables, msg: SlowSearchers) -> None:
-    """Notes which searchers other entries find slow."""
+    """Marks searchers that other entries report as slow."""
     for key in msg.searchers:
         searcher = tables.searchers.get(key.searcher_id)
         if searcher is not None and searcher.start == key.start:
@@ -102,10 +101,10 @@
 
 
 def take_evacuations(tables: Tables, msg: EvacuationsLearnt) -> None:
-    """Notes which data centres are evacuated.
+    """Updates the set of evacuated data centres.
 
-    What runs there ends in peace. Kept connections go: as long as one stands,
-    its searcher counts it against its cap.
+    Sends under way there complete normally. Idle connections are closed, as a
+    searcher counts them against its connection cap.
     """
     before = tables.evacuated
     tables.evacuations.take(msg.rows)
@@ -114,13 +113,13 @@
         if row.data_centre in tables.evacuated - before:
             tables.out.append(CloseIdle(row.address))
         elif row.data_centre in before - tables.evacuated:
-            _take_for_cold(tables, row)
+            _mark_cold(tables, row)
 
 
-def _take_for_cold(tables: Tables, row: Searcher) -> None:
-    """Takes a searcher for cold that got nothing for some time.
+def _mark_cold(tables: Tables, row: Searcher) -> None:
+    """Treats a searcher as cold after a time without requests.
 
-    Its own word on that may be an announcement away.
+    The searcher itself reports this with its next announcement only.
     """
     rules = tables.services.get(row.service)
     if rules is not None:
@@ -129,17 +128,17 @@
 
 
 def set_caps(tables: Tables) -> None:
-    """Takes in changed caps, or another number of entries."""
+    """Recomputes connection caps from the service rules and entry count."""
     for searcher in tables.searchers.values():
         searcher.cap = share_of_cap(tables, searcher.service)
 
 
 def share_of_cap(tables: Tables, service: str) -> int:
-    """Returns this entry's share of a searcher's connections.
+    """Returns this entry's share of a searcher's connection cap.
 
-    A searcher resets connections beyond its cap. The share is a fixed part, by
-    a number of entries that only grows, so that a cut that hides entries can't
-    raise it.
+    A searcher resets connections beyond its cap. The cap is divided by a
+    number of entries that only grows, so that a network partition, in which
+    fewer entries are visible, can't raise the share.
     """
     rules = tables.services.get(service)
     cap = rules.connection_cap if rules is not None else tables.sharers
--- a/greengagemoor/forward/starting.py
+++ b/greengagemoor/forward/starting.py
@@ -1,4 +1,4 @@
-"""The first sends of a request."""
+"""First sends of a request."""
 
 from __future__ import annotations
 
@@ -16,7 +16,11 @@
 
 
 def start(tables: Tables, request: Request) -> None:
-    """Sends each leg that was not sent yet, and looks whether it is over."""
+    """Sends each open leg that was not sent yet.
+
+    Legs without a free connection are queued; legs without a usable searcher
+    are given up, which may end the request.
+    """
     delegating.hand_out(tables, request)
     for leg in request.legs:
         if leg.sends or not leg.is_open:
