--- a/greengagemoor/forward/__init__.py
+++ b/greengagemoor/forward/__init__.py
@@ -1,5 +1,6 @@
-"""Pure decisions on forwarded requests: placing, repeating, merging.
+"""Pure decisions on forwarded requests: searchers, retries, merging.
 
-No module here has a socket or a clock; ``decider.ForwardDecider`` is the one
-that others call.
+No module here uses a socket or a clock; ``decider.ForwardDecider`` is the
+public interface. A *leg* is the part of a request that goes to one service, an
+*attempt* is one send of a leg to a searcher.
 """
--- a/greengagemoor/forward/ended.py
+++ b/greengagemoor/forward/ended.py
@@ -1,4 +1,4 @@
-"""Takes in how sends ended, and learns from it."""
+"""Handles the end of sends, and updates the searchers' statistics."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 from greengagemoor.forward.messages import Outcome, Step, StepKind
 
 SIZE_SMOOTHING = 0.05
+"""Weight of the last answer in the smoothed size of a route's answers."""
 FRAMING_BYTES = 100
-"""Status line, ends of lines, and what the network adds to a packet."""
+"""Size of the status line, line ends and network headers of an answer."""
 
 if TYPE_CHECKING:
     from greengagemoor.forward.messages import AttemptEnded, SearcherAnswer
@@ -17,18 +18,22 @@
 
 
 def take_ended(tables: Tables, msg: AttemptEnded) -> Leg | None:
-    """Takes in the end of a send; returns its leg if it still matters."""
+    """Handles the end of a send.
+
+    Returns:
+        Its leg, or None if the request has ended or the send is unknown.
+    """
     attempt = tables.attempts.pop(msg.attempt_id, None)
     if attempt is None:
         return None
     leg, searcher = attempt.leg, attempt.searcher
     searcher.attempts.pop(msg.attempt_id, None)
     leg.attempts.remove(attempt)
-    _note_end(tables, attempt, _words(msg))
+    _add_step(tables, attempt, _end_text(msg))
     if msg.answer is not None and msg.answer.load is not None:
         choosing.note_load(tables, searcher, msg.answer.load)
-    _learn(tables, attempt, msg)
-    _note_proof(tables, attempt, msg)
+    _update_searcher(tables, attempt, msg)
+    _update_evidence(tables, attempt, msg)
     if msg.outcome in (
         Outcome.NOT_RUN,
         Outcome.NOT_SENT,
@@ -43,14 +48,14 @@
     return None if leg.request.done else leg
 
 
-def _words(msg: AttemptEnded) -> str:
+def _end_text(msg: AttemptEnded) -> str:
     if msg.outcome is Outcome.ANSWERED:
         return str(msg.answer.status)
     stale = " on an idle connection" if msg.stale else ""
     return f"{msg.outcome.value}: {msg.reason}{stale}"
 
 
-def _note_end(tables: Tables, attempt: Attempt, note: str) -> None:
+def _add_step(tables: Tables, attempt: Attempt, note: str) -> None:
     request = attempt.leg.request
     if request.done:
         return
@@ -65,8 +70,10 @@
     )
 
 
-def _note_proof(tables: Tables, attempt: Attempt, msg: AttemptEnded) -> None:
-    """Notes what the end says of the request, and of its searcher's life."""
+def _update_evidence(
+    tables: Tables, attempt: Attempt, msg: AttemptEnded
+) -> None:
+    """Updates the evidence on whether the request crashes searchers."""
     if msg.outcome is Outcome.ANSWERED:
         if tables.possible_ends:
             evidence.note_alive(tables, attempt)
@@ -83,26 +90,26 @@
     tables: Tables, attempt: Attempt, answer: SearcherAnswer
 ) -> None:
     leg = attempt.leg
-    _note_size(tables, leg, answer)
+    _update_size(tables, leg, answer)
     if not is_good(answer):
         leg.failure = answer
     elif leg.answer is None:
         leg.take(answer, attempt.searcher.searcher_id, tables.now)
 
 
-def _note_size(tables: Tables, leg: Leg, answer: SearcherAnswer) -> None:
-    """Learns how many bytes an answer takes on this entry's link."""
+def _update_size(tables: Tables, leg: Leg, answer: SearcherAnswer) -> None:
+    """Updates the average size of the route's answers on this entry's link."""
     if leg.request.route.gather is None:
         return
     heads = sum(len(name) + len(value) for name, value in answer.headers)
     size = len(answer.body) + heads + FRAMING_BYTES
-    known = tables.answer_bytes.get(leg.request.route.name, float(size))
-    known += SIZE_SMOOTHING * (size - known)
-    tables.answer_bytes[leg.request.route.name] = known
+    average = tables.answer_bytes.get(leg.request.route.name, float(size))
+    average += SIZE_SMOOTHING * (size - average)
+    tables.answer_bytes[leg.request.route.name] = average
 
 
 def is_good(answer: SearcherAnswer) -> bool:
-    """Whether an answer is a success that its searcher signed."""
+    """Whether an answer is successful, signed, and not encoded."""
     return (
         200 <= answer.status < 300
         and bool(answer.signature)
@@ -110,10 +117,12 @@
     )
 
 
-def _learn(tables: Tables, attempt: Attempt, msg: AttemptEnded) -> None:
+def _update_searcher(
+    tables: Tables, attempt: Attempt, msg: AttemptEnded
+) -> None:
     searcher = attempt.searcher
     if msg.outcome is Outcome.WRONG_SEARCHER:
-        # Another start has the address now; this one won't come back.
+        # Another process has the address now; this one has ended.
         searcher.avoid_until = float("inf")
     elif msg.outcome is Outcome.NOT_SENT:
         choosing.note_failure(tables, searcher, unreachable=True)
@@ -129,7 +138,7 @@
 
 
 def note_time(tables: Tables, attempt: Attempt) -> None:
-    """Learns how long a send took, or at least took when it was cut."""
+    """Records the time of a send, or its time so far when it is cancelled."""
     times = tables.times_of(attempt.leg.request.route)
     elapsed = tables.now - attempt.sent_at
     ratio = elapsed / max(times.median, 0.0005)
--- a/greengagemoor/forward/evidence.py
+++ b/greengagemoor/forward/evidence.py
@@ -1,10 +1,11 @@
-"""Which requests ran at a searcher as it ended.
-
-A broken connection alone says little: searchers drop idle connections, reset
-some requests and run on. A searcher has ended if nothing listens at its address
-any more, or if control tells so. Each request that it was running then counts
-one end. A request that was answered by any searcher has none counted: one that
-ends each searcher that runs it is never answered.
+"""Detects requests that were running at a searcher when it crashed.
+
+A broken connection is no proof of a crash: searchers also close idle
+connections and reset single requests. A searcher has ended if nothing listens
+at its address any more, or if the control instances report it. The end is then
+counted against each request that was running there. No end is counted against a
+request that any searcher has answered, as one that crashes every searcher is
+never answered.
 """
 
 from __future__ import annotations
@@ -29,27 +30,27 @@
     )
     from greengagemoor.forward.tables import Attempt, Tables
 
-CONFIRM_S = 5.0
-"""Longest wait for the word that a searcher has ended; one that fell silent is
-called lost after three announcements, some three seconds."""
+CONFIRM_WITHIN_S = 5.0
+"""Seconds within which the end of a searcher must be confirmed; a silent one is
+reported as lost after three missed announcements, about three seconds."""
 TOGETHER_S = 0.25
-"""Searchers of one rack or machine end within such a time."""
-SUSPECTS_ABOUT_S = 4.0
-"""So long after a request was suspected it still ends searchers here and
-there: where it is not known yet, and in its own trial."""
+"""Seconds within which searchers of one rack or machine end together."""
+OTHER_SUSPECTS_S = 4.0
+"""Seconds after a request became suspect during which it may still crash
+searchers: at entries not notified yet, and in its own trial."""
 REPORT_S = 0.1
-"""Other shards of a query have answered by then, if it is innocent, and nobody
-needs to hear of it."""
+"""Seconds until an end is reported to the control instances. By then the other
+shards of a harmless query have answered, and no report is needed."""
 
 
 @attrs.define(eq=False)
 class PossibleEnd:
-    """A searcher that broke off sends, and perhaps ended.
+    """A searcher whose connections broke, and that may have ended.
 
     Attributes:
-        at: when the first of them broke.
-        runs: what it ran: the route by fingerprint.
-        ended: whether it is sure.
+        at: when the first connection broke.
+        runs: requests that it was running: route names by fingerprint.
+        ended: whether its end is confirmed.
     """
 
     searcher: SearcherKey
@@ -59,7 +60,7 @@
 
 
 def note_break(tables: Tables, attempt: Attempt) -> None:
-    """Takes in a send that broke before any byte of an answer."""
+    """Records a send that broke before any byte of an answer."""
     request = attempt.leg.request
     if not request.fingerprint:
         return
@@ -70,34 +71,35 @@
         end = PossibleEnd(key, tables.now)
         tables.possible_ends[key] = end
         forget = partial(tables.possible_ends.pop, key, None)
-        tables.set_timer(tables.now + CONFIRM_S, forget)
+        tables.set_timer(tables.now + CONFIRM_WITHIN_S, forget)
         if tables.searchers.get(searcher.searcher_id) is searcher:
             tables.out.append(ProbeSearcher(key, searcher.address))
         else:
             _confirm(tables, end)
     end.runs[request.fingerprint] = request.route.name
     if end.ended:
-        _count(tables, request.fingerprint, end)
+        _count_end(tables, request.fingerprint, end)
 
 
 def take_probed(tables: Tables, key: SearcherKey, *, refused: bool) -> None:
-    """Takes in whether anything listens where a searcher was.
+    """Handles the result of a probe of a searcher's address.
 
-    If something does, it may be the next start already: control will tell.
+    If something listens there, the searcher may have restarted already; the
+    control instances report that.
     """
     if refused:
         note_ended(tables, key)
 
 
 def note_ended(tables: Tables, key: SearcherKey) -> None:
-    """Takes in that a searcher has ended, if a send broke there."""
+    """Confirms the end of a searcher where a send broke."""
     end = tables.possible_ends.get(key)
     if end is not None:
         _confirm(tables, end)
 
 
 def note_alive(tables: Tables, attempt: Attempt) -> None:
-    """Takes in an answer to a send: its searcher has not ended before it."""
+    """Discards a possible end if the searcher answers a send made after it."""
     end = tables.possible_ends.get(attempt.searcher.key)
     if end is not None and not end.ended and attempt.sent_at > end.at:
         del tables.possible_ends[attempt.searcher.key]
@@ -109,11 +111,11 @@
     end.ended = True
     tables.recent_ends.append(end)
     for fingerprint in end.runs:
-        _count(tables, fingerprint, end)
+        _count_end(tables, fingerprint, end)
 
 
-def _count(tables: Tables, fingerprint: bytes, end: PossibleEnd) -> None:
-    """Counts one end against a request."""
+def _count_end(tables: Tables, fingerprint: bytes, end: PossibleEnd) -> None:
+    """Counts the end of a searcher against a request."""
     known = tables.suspects.get(fingerprint)
     row = Suspect(
         fingerprint,
@@ -121,53 +123,53 @@
         ended=(end.searcher,),
         route=end.runs[fingerprint],
     )
-    _join_own(tables, row, tables.now + REPORT_S)
+    _join_and_report(tables, row, tables.now + REPORT_S)
 
 
 def note_failed_trial(
     tables: Tables, fingerprint: bytes, end: PossibleEnd
 ) -> None:
-    """Takes in that a trial has ended its searcher."""
+    """Records that the searcher of a request's trial has ended."""
     known = tables.suspects.get(fingerprint)
     if known is not None:
-        sure = _explains(tables, fingerprint, end)
+        sure = _is_only_cause(tables, fingerprint, end)
         row = attrs.evolve(known, failed=(end.searcher,), sure=sure)
-        _join_own(tables, row, tables.now)
+        _join_and_report(tables, row, tables.now)
 
 
 def note_good_answer(tables: Tables, fingerprint: bytes) -> None:
-    """Clears a request that a searcher has answered."""
+    """Clears a suspected request that a searcher has answered."""
     known = tables.suspects.get(fingerprint)
     if known is None or not (known.ended or known.failed):
         return
     if tables.unreported.get(fingerprint) is False:
-        # Nobody else has heard of it yet.
+        # No other instance has received the row yet.
         del tables.unreported[fingerprint]
         tables.suspects.drop(fingerprint)
         tables.to_review.add(fingerprint)
         return
-    _join_own(tables, cleared(known), tables.now)
+    _join_and_report(tables, cleared(known), tables.now)
 
 
-def _join_own(tables: Tables, row: Suspect, report_at: float) -> None:
-    """Takes in what this entry has seen itself; control is told of it."""
+def _join_and_report(tables: Tables, row: Suspect, report_at: float) -> None:
+    """Joins a row of this entry, and reports it to the control instances."""
     was_known = tables.suspects.get(row.fingerprint) is not None
-    if not _take_row(tables, row):
+    if not _join_row(tables, row):
         return
     tables.unreported.setdefault(row.fingerprint, was_known)
     tables.set_timer(report_at, partial(_report, tables))
 
 
 def take_told(tables: Tables, row: Suspect) -> None:
-    """Takes in a row that others have told."""
+    """Joins a row received from the control instances."""
     if row.fingerprint in tables.unreported:
-        # They know of it: an answer has to be told to them as well.
+        # Others have the row too, so an answer must be reported to them.
         tables.unreported[row.fingerprint] = True
-    _take_row(tables, row)
+    _join_row(tables, row)
 
 
-def _take_row(tables: Tables, row: Suspect) -> bool:
-    """Takes in a row, own or told; returns whether it is news."""
+def _join_row(tables: Tables, row: Suspect) -> bool:
+    """Joins a row; returns whether it changed what was known."""
     before = tables.suspects.standing(row.fingerprint)
     joined = tables.suspects.join(row)
     if joined is None:
@@ -183,23 +185,26 @@
 
 def _report(tables: Tables) -> None:
     rows = (tables.suspects.get(key) for key in tables.unreported)
-    told = tuple(row for row in rows if row is not None)
+    known = tuple(row for row in rows if row is not None)
     tables.unreported.clear()
-    if told:
-        tables.out.append(SuspectsSeen(told))
+    if known:
+        tables.out.append(SuspectsSeen(known))
 
 
-def _explains(tables: Tables, fingerprint: bytes, end: PossibleEnd) -> bool:
-    """Whether a request alone can have been what ended a searcher.
+def _is_only_cause(
+    tables: Tables, fingerprint: bytes, end: PossibleEnd
+) -> bool:
+    """Whether a request is the only possible cause of a searcher's end.
 
-    Searchers that end together were ended by what they share, and beside
-    another suspect it may be that one's doing, which ran there too.
+    Searchers that end together have a common cause, such as their machine. If
+    there was another suspect at the time, that one may be the cause, as it may
+    have run there too.
     """
     together = any(
         abs(other.at - end.at) <= TOGETHER_S and fingerprint not in other.runs
         for other in tables.recent_ends
     )
-    since = end.at - SUSPECTS_ABOUT_S
+    since = end.at - OTHER_SUSPECTS_S
     others = any(
         at >= since and other != fingerprint
         for at, other in tables.recent_suspects
@@ -208,7 +213,7 @@
 
 
 def note_row(tables: Tables, row: SearcherRow) -> None:
-    """Takes in what control tells of a searcher that may have ended."""
+    """Confirms possible ends by a searcher's restart or ended state."""
     for key in list(tables.possible_ends):
         if key.searcher_id != row.searcher_id:
             continue
@@ -217,5 +222,5 @@
 
 
 def is_suspect(tables: Tables, fingerprint: bytes) -> bool:
-    """Whether a request may be sent by a trial only, or not at all."""
+    """Whether a request may only be sent as a trial, or not at all."""
     return tables.suspects.standing(fingerprint) is not Standing.WATCHED
