--- a/tests/test_forward/helpers.py
+++ b/tests/test_forward/helpers.py
@@ -1,4 +1,4 @@
-"""A forward decider with a fake clock and short ways to speak to it."""
+"""A forward decider under a fake clock, and helpers to drive it."""
 
 from __future__ import annotations
 
@@ -49,12 +49,12 @@
 
 
 class Bench:
-    """Steps a decider and collects what it says."""
+    """Steps a decider and collects its output in ``said``."""
 
     def __init__(self, services=1, searchers=3, cap=40, **policy):
         self.now = 100.0
         self.decider = ForwardDecider("dc1", random.Random(1), Policy(**policy))
-        # It has run for a while: allowances of a window are whole.
+        # First tick a minute ago, so that the budgets have their whole slack.
         self.decider.step(self.now - 60.0, ())
         names = [f"s{i}" for i in range(services)]
         rules = {name: ServiceRules(name, cap) for name in names}
@@ -80,14 +80,14 @@
         return self.step(SearcherLearnt(row))
 
     def step(self, *msgs, after=0.0):
-        """Lets time pass, then ticks; returns what came out."""
+        """Advances the clock, then ticks; returns the output."""
         self.now += after
         out = self.decider.step(self.now, msgs)
         self.said += out
         return out
 
     def pass_time(self, seconds, tick=0.005):
-        """Ticks until that much time has passed."""
+        """Ticks until that many seconds have passed; returns the output."""
         out = []
         for _ in range(round(seconds / tick)):
             out += self.step(after=tick)
@@ -101,9 +101,9 @@
         return self.step(msg)
 
     def answer(self, start, body=b"", status=200, signature=None, **more):
-        """A searcher answers a send."""
-        signed = start.searcher_id if signature is None else signature
-        answer = m.SearcherAnswer(status, signed, (), body, **more)
+        """Ends a send with a searcher's answer."""
+        signed_by = start.searcher_id if signature is None else signature
+        answer = m.SearcherAnswer(status, signed_by, (), body, **more)
         return self.step(
             m.AttemptEnded(start.attempt_id, m.Outcome.ANSWERED, answer)
         )
@@ -123,7 +123,7 @@
 
 
 def warm(bench, route, times=40, seconds=0.02):
-    """Teaches the decider what the route usually takes."""
+    """Lets the decider measure the route's usual response time."""
     for _ in range(times):
         for start in starts(bench.arrive(route)):
             bench.now += seconds / max(1, len(route.services))
--- a/tests/test_forward/test_callers_way.py
+++ b/tests/test_forward/test_callers_way.py
@@ -1,4 +1,4 @@
-"""When an answer must leave, by how far away its caller is."""
+"""Time at which an answer is sent, by the network time of its caller."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 ROUTE = gather(4, objective_s=0.2, time_limit_s=1.0)
 
 
-def given_after(way_s, objective_s=0.2):
-    """Returns when an answer without its last shard leaves."""
+def answered_after(way_s, objective_s=0.2):
+    """Returns the seconds until an answer without its last shard is sent."""
     bench = Bench(services=4)
     route = gather(4, objective_s=objective_s, time_limit_s=1.0)
     begin = bench.now
@@ -23,17 +23,17 @@
     return bench.now - begin
 
 
-class TestWay:
-    """Partial answers leave as late as their caller's way allows."""
+class TestNetworkTime:
+    """Partial answers are sent as late as the caller's network time allows."""
 
     @pytest.mark.parametrize("way_s", [0.002, 0.006, 0.012, 0.03])
-    def test_a_near_caller_gets_more_shards(self, way_s):
-        """Guards against one guess for callers of all distances."""
-        assert given_after(way_s) + way_s == pytest.approx(0.184, abs=0.002)
+    def test_nearer_callers_are_answered_later(self, way_s):
+        """Guards against one assumed network time for all callers."""
+        assert answered_after(way_s) + way_s == pytest.approx(0.184, abs=0.002)
 
-    def test_unknown_way_is_guessed(self):
-        assert given_after(None) == pytest.approx(given_after(0.012))
+    def test_unknown_network_time_uses_the_default(self):
+        assert answered_after(None) == pytest.approx(answered_after(0.012))
 
-    def test_a_lossy_way_leaves_time_for_searchers(self):
-        """Guards against an answer that leaves before any shard could."""
-        assert given_after(0.5) >= 0.2 * 0.65
+    def test_lossy_link_leaves_time_for_searchers(self):
+        """Guards against an answer that is sent before any shard can answer."""
+        assert answered_after(0.5) >= 0.2 * 0.65
--- a/tests/test_forward/test_coldstart.py
+++ b/tests/test_forward/test_coldstart.py
@@ -1,4 +1,4 @@
-"""A cold searcher gets few requests a second, over all entries together."""
+"""The limit on requests to a cold searcher, over all entries together."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class Fleet:
-    """Entries that all press on one cold searcher."""
+    """Entries that all send to one cold searcher as often as they may."""
 
     def __init__(self, entries, per_s, seed):
         self.rng = random.Random(seed)
@@ -51,7 +51,7 @@
         self.entries = {name: self.make(name) for name in names}
         self.now = 100.0
         self.recent: deque[float] = deque()
-        self.most = 0
+        self.max_in_a_second = 0
         self.sent = 0
 
     def learn(self):
@@ -59,14 +59,14 @@
             decider.step(self.now, [SearcherLearnt(row())])
 
     def kill(self, share):
-        """Kills entries; they come back at once and know the searcher."""
+        """Kills entries, which restart at once and learn of the searcher."""
         names = sorted(self.entries)
         for name in self.rng.sample(names, int(share * len(names))):
             self.entries[name] = self.make(name)
             self.entries[name].step(self.now, [SearcherLearnt(row())])
 
-    def press(self):
-        """Each entry asks for a send, and has none of them answered."""
+    def send_from_all(self):
+        """Sends from each entry that may; no send is answered."""
         from greengagemoor.forward import choosing
 
         for decider in self.entries.values():
@@ -82,36 +82,36 @@
         self.recent.append(at)
         while self.recent[0] <= at - 1.0:
             self.recent.popleft()
-        self.most = max(self.most, len(self.recent))
+        self.max_in_a_second = max(self.max_in_a_second, len(self.recent))
 
 
-class TestSum:
-    """The bound over all entries, by any second."""
+class TestTotalRate:
+    """The bound on the sends of all entries in any second."""
 
     @pytest.mark.parametrize("entries", [9, 67, 191])
     @pytest.mark.parametrize("per_s", [1.0, 5.0, 20.0, 100.0])
     @pytest.mark.parametrize("seed", [1, 2, 3])
-    def test_never_passed_while_all_press(self, entries, per_s, seed):
+    def test_total_stays_within_the_bound(self, entries, per_s, seed):
         fleet = Fleet(entries, per_s, seed)
         fleet.learn()
         for turn in range(int((COLD_S - 1.0) / TICK_S)):
             if turn % 30 == 29:
                 fleet.kill(0.3)
-            fleet.press()
+            fleet.send_from_all()
             fleet.now += TICK_S
-        assert fleet.most <= per_s * OVERAGE + SLACK
+        assert fleet.max_in_a_second <= per_s * OVERAGE + SLACK
 
-    def test_a_good_part_of_it_is_used(self):
+    def test_at_least_two_fifths_of_the_rate_are_used(self):
         fleet = Fleet(67, 100.0, 1)
         fleet.learn()
         for _ in range(int((COLD_S - 1.0) / TICK_S)):
-            fleet.press()
+            fleet.send_from_all()
             fleet.now += TICK_S
         assert fleet.sent >= 0.4 * 100.0 * (COLD_S - 1.0)
 
 
-class TestSends:
-    """What one entry sends."""
+class TestOneEntry:
+    """Sends of one entry."""
 
     def bench(self, rules=RULES, **more):
         bench = Bench(searchers=0)
@@ -119,37 +119,37 @@
         bench.step(SearcherLearnt(row(**more)))
         return bench
 
-    def test_warm_one(self):
+    def test_warm_searcher_is_not_limited(self):
         bench = self.bench(cold_s=0.0)
         sends = [starts(bench.arrive(single())) for _ in range(4)]
         assert all(sends)
 
-    def test_no_bound(self):
+    def test_service_without_a_cold_rate_is_not_limited(self):
         bench = self.bench(attrs.evolve(RULES, cold_per_s=0.0))
         sends = [starts(bench.arrive(single())) for _ in range(4)]
         assert all(sends)
 
-    def test_pace(self):
-        """Ten entries at the least share 0.6 of 20 a second."""
+    def test_rate_of_one_entry(self):
+        """At least ten entries share 0.6 of 20 requests a second."""
         bench = self.bench()
         assert starts(bench.arrive(single()))
         assert not starts(bench.arrive(single()))
         out = bench.pass_time(1.0)
         assert len(starts(out)) <= 2
 
-    def test_stale_connection(self):
-        """Guards against a resend that isn't counted."""
+    def test_retry_on_a_stale_connection_is_limited(self):
+        """Guards against a retry that the rate limit doesn't count."""
         bench = self.bench()
         (first,) = starts(bench.arrive(single()))
         assert not starts(bench.end(first, Outcome.BROKEN, stale=True))
 
-    def test_refused_at_once_where_this_entry_may_not(self):
+    def test_rejected_at_once_if_this_entry_is_not_selected(self):
         bench = self.bench(attrs.evolve(RULES, cold_per_s=0.001))
         (answer,) = answers(bench.arrive(single()))
         assert answer.ending is Ending.NOT_RUN_NO_SEARCHER
 
-    def test_cold_until_heard_otherwise_after_an_evacuation(self):
-        """Guards against a rush of all entries as it ends."""
+    def test_searchers_are_cold_after_an_evacuation(self):
+        """Guards against a burst from all entries when it ends."""
         bench = self.bench(cold_s=0.0)
         bench.step(EvacuationsLearnt((Evacuation("dc1", 1, True),)))
         bench.step(EvacuationsLearnt((Evacuation("dc1", 2, False),)))
--- a/tests/test_forward/test_decider.py
+++ b/tests/test_forward/test_decider.py
@@ -24,24 +24,24 @@
 class TestSingle:
     """Requests to one service."""
 
-    def test_answer_is_handed_on(self):
+    def test_answer_is_returned(self):
         bench = Bench()
         (start,) = starts(bench.arrive(single()))
         (end,) = answers(bench.answer(start, b"body"))
         assert end.ending is Ending.ANSWERED
         assert end.answer.body == b"body"
 
-    def test_refused_send_goes_elsewhere(self):
-        """A searcher that is full says that it did not run the request."""
+    def test_refused_send_is_retried_at_another_searcher(self):
+        """A searcher without capacity reports that it did not run it."""
         bench = Bench()
         (first,) = starts(bench.arrive(single()))
         (second,) = starts(bench.end(first, Outcome.NOT_RUN))
         assert second.searcher_id != first.searcher_id
 
-    def test_stale_connection_costs_nothing(self):
-        """A searcher forgot an idle connection.
+    def test_stale_connection_is_retried_without_budget(self):
+        """A searcher has closed an idle connection.
 
-        The request goes out again also when no second send is left.
+        The request is retried even if the budget is used up.
         """
         bench = Bench(retry_slack=0.0, retry_ratio=0.0)
         (first,) = starts(bench.arrive(single()))
@@ -49,13 +49,11 @@
         assert starts(out)
 
     def test_send_after_a_stale_connection_is_counted(self):
-        """A searcher that has the request resets just like one that hasn't.
+        """A reset by a searcher that has the request looks like a stale one.
 
-        Symptom: 244 second sends in a window that allows 242. Sequence: 29
-        searchers take requests and reset kept connections in place of an
-        answer; each such request goes out again, and is not counted.
-        Cause: a break on a used connection was taken for one that the
-        searcher had dropped while it was idle.
+        Guards against 244 retries in a window that allows 242: 29 searchers
+        take requests and reset the kept connections instead of answering, and
+        the retries are not counted.
         """
         bench = Bench(retry_slack=10.0, retry_ratio=0.0)
         bench.arrive(single())
@@ -65,11 +63,10 @@
         assert bench.decider.gauges()["least_budget_left"] == before - 1
 
     def test_stale_connection_on_a_route_of_one_attempt(self):
-        """The same searcher gets it again, on a fresh connection.
+        """The request is retried at the same searcher on a new connection.
 
-        Symptom: a lookup was answered 502 after 0.7 ms. Sequence: its route
-        allows one searcher; the searcher had dropped the idle connection.
-        Cause: the broken connection counted as the one attempt.
+        Guards against a 502 after 0.7 ms because the broken connection counted
+        as the only attempt that the route allows.
         """
         bench = Bench()
         (first,) = starts(bench.arrive(single(attempts=1)))
@@ -77,7 +74,7 @@
         assert again.searcher_id == first.searcher_id
         assert not starts(bench.end(again, Outcome.BROKEN))
 
-    def test_failure_of_every_searcher_is_handed_on(self):
+    def test_failure_of_all_searchers_is_returned(self):
         bench = Bench()
         (first,) = starts(bench.arrive(single()))
         (second,) = starts(bench.answer(first, status=500))
@@ -85,7 +82,7 @@
         assert end.ending is Ending.SEARCHER_FAILED
         assert end.answer.status == 500
 
-    def test_no_searcher_is_refused_at_once(self):
+    def test_no_searcher_is_rejected_at_once(self):
         bench = Bench(searchers=0)
         (end,) = answers(bench.arrive(single()))
         assert end.ending is Ending.NOT_RUN_NO_SEARCHER
@@ -109,11 +106,11 @@
 
     ROUTE = single(grade=Grade.ONCE_PER_ATTEMPT)
 
-    def test_no_second_send_after_a_break(self):
-        """Symptom: a pickup was booked twice.
+    def test_no_retry_after_a_broken_connection(self):
+        """Guards against a request that runs twice.
 
-        Sequence: the searcher runs the request, its answer is lost, the entry
-        sends again. Cause: a broken connection was taken for *not run*.
+        The searcher runs the request, its answer is lost, and the entry takes
+        the broken connection for *not run* and retries.
         """
         bench = Bench()
         (start,) = starts(bench.arrive(self.ROUTE))
@@ -121,32 +118,32 @@
         assert not starts(out)
         assert answers(out)[0].ending is Ending.BROKEN
 
-    def test_no_second_send_after_a_stale_connection(self):
+    def test_no_retry_after_a_stale_connection(self):
         bench = Bench()
         (start,) = starts(bench.arrive(self.ROUTE))
         out = bench.end(start, Outcome.BROKEN, stale=True)
         assert not starts(out)
 
-    def test_no_second_send_when_late(self):
+    def test_no_hedge_when_late(self):
         bench = Bench()
         bench.arrive(self.ROUTE)
         assert not starts(bench.pass_time(0.5))
 
-    def test_again_after_not_run(self):
+    def test_retry_after_not_run(self):
         bench = Bench()
         (start,) = starts(bench.arrive(self.ROUTE))
         assert starts(bench.end(start, Outcome.NOT_RUN))
 
 
 class TestCallers:
-    """Callers that leave, and deadlines."""
+    """Callers that disconnect, and deadlines."""
 
-    def test_gone_caller_cancels_all(self):
+    def test_disconnected_caller_cancels_all_sends(self):
         bench = Bench(services=4)
         sends = starts(bench.arrive(gather()))
         out = bench.step(m.CallerGone(1))
-        cuts = {x.attempt_id for x in out if type(x) is m.CancelAttempt}
-        assert cuts == {start.attempt_id for start in sends}
+        cancelled = {x.attempt_id for x in out if type(x) is m.CancelAttempt}
+        assert cancelled == {start.attempt_id for start in sends}
         assert not answers(out)
 
     def test_final_answer_before_the_deadline(self):
@@ -164,7 +161,7 @@
 
 
 class TestPlaces:
-    """Connection shares."""
+    """Shares of a searcher's connection cap."""
 
     def test_share_of_the_cap_is_kept(self):
         bench = Bench(searchers=1, cap=40)
@@ -173,13 +170,13 @@
             sends += starts(bench.arrive(single(objective_s=10.0)))
         assert len(sends) == 4
 
-    def test_waiting_request_is_sent_when_a_place_is_free(self):
+    def test_waiting_request_is_sent_when_a_connection_is_free(self):
         bench = Bench(searchers=1, cap=10)
         (first,) = starts(bench.arrive(single()))
         assert not starts(bench.arrive(single()))
         assert starts(bench.answer(first))
 
-    def test_no_place_in_time_is_refused(self):
+    def test_no_free_connection_in_time_is_rejected(self):
         bench = Bench(searchers=1, cap=10)
         bench.arrive(single())
         bench.arrive(single())
@@ -197,18 +194,18 @@
 
 
 class TestSearchers:
-    """Searchers that come, leave and fail."""
+    """Searchers that start, stop, fail or are slow."""
 
     @pytest.mark.parametrize(
         "state", [SearcherState.DRAINING, SearcherState.GONE]
     )
-    def test_leaving_searcher_gets_nothing(self, state):
+    def test_draining_or_gone_searcher_gets_no_sends(self, state):
         bench = Bench(searchers=1)
         bench.learn("s0.0", "s0", state, seq=2)
         assert not starts(bench.arrive(single()))
 
-    def test_crashed_searcher_is_left_alone(self):
-        """Each send to a dead address would cost a pause."""
+    def test_crashed_searcher_is_avoided(self):
+        """Each send to an address where nothing listens costs time."""
         bench = Bench(searchers=2)
         (first,) = starts(bench.arrive(single()))
         (second,) = starts(bench.end(first, Outcome.NOT_SENT))
@@ -218,7 +215,7 @@
             assert start.searcher_id == second.searcher_id
             bench.answer(start)
 
-    def test_wrong_searcher_is_never_asked_again(self):
+    def test_wrong_searcher_gets_no_more_sends(self):
         bench = Bench(searchers=2)
         (first,) = starts(bench.arrive(single()))
         bench.end(first, Outcome.WRONG_SEARCHER)
@@ -228,7 +225,7 @@
                 assert start.searcher_id != first.searcher_id
                 bench.answer(start)
 
-    def test_slow_searcher_gets_little(self):
+    def test_slow_searcher_gets_few_sends(self):
         bench = Bench(searchers=3)
         counts = {f"s0.{i}": 0 for i in range(3)}
         for _ in range(120):
@@ -240,11 +237,11 @@
         assert counts["s0.0"] < 20
 
     def test_one_slow_answer_is_enough_where_answers_are_rare(self):
-        """With many entries each one asks a searcher every few seconds.
+        """With many entries, each sends to a searcher every few seconds.
 
-        Symptom: an entry went on choosing a slow searcher, once in four
-        seconds each. Cause: an answer changed what is known by a seventh,
-        and that faded before the next one.
+        Guards against an entry that keeps choosing a slow searcher, every four
+        seconds: an answer changed the smoothed slowness by a seventh only, and
+        that decayed before the next answer.
         """
         bench = Bench(searchers=1)
         for seconds in (0.05, 0.4):
@@ -261,11 +258,11 @@
             bench.answer(start)
 
     def test_shedding_searcher_gets_little(self):
-        """One searcher refuses half of its sends although it has room.
+        """One searcher refuses half of its sends although it has capacity.
 
-        Symptom: answers below the coverage floor although two sound searchers
-        stood beside it. Cause: a refusal taught nothing, so each one cost a
-        second send until the budget was gone.
+        Guards against answers below the required coverage although two healthy
+        searchers are available: refusals had no effect on the selection, so
+        each cost a retry until the budget was used up.
         """
         bench = Bench(searchers=3)
         counts = {f"s0.{i}": 0 for i in range(3)}
@@ -280,7 +277,7 @@
                 bench.answer(start)
         assert counts["s0.0"] < 20
 
-    def test_own_fresh_answer_outweighs_what_others_find(self):
+    def test_own_recent_answer_overrides_reports_of_others(self):
         bench = Bench(searchers=1)
         (start,) = starts(bench.arrive(single()))
         bench.now += 0.01
@@ -292,7 +289,7 @@
         (start,) = starts(bench.arrive(single()))
         assert start.searcher_id == "s0.0"
 
-    def test_slow_for_others_is_avoided_for_a_while(self):
+    def test_reported_slow_searcher_is_avoided_until_the_report_expires(self):
         bench = Bench(searchers=2)
         bench.step(SlowSearchers((SearcherKey("s0.0"),), 2.0))
         seen = set()
