--- a/tests/test_forward/test_evidence.py
+++ b/tests/test_forward/test_evidence.py
@@ -1,4 +1,4 @@
-"""When a broken send counts as the end of a searcher."""
+"""When a broken send is taken as evidence that its searcher has ended."""
 
 from __future__ import annotations
 
@@ -16,27 +16,26 @@
 from tests.test_forward.helpers import Bench, gather, single, starts
 
 
-def break_off(bench, route=None, **more):
-    """A searcher breaks off a send; returns the send."""
+def break_send(bench, route=None, **more):
+    """Ends a send with a broken connection; returns the send."""
     (sent, *_) = starts(bench.arrive(route or single(), fingerprint=b"f"))
     bench.end(sent, Outcome.BROKEN, **more)
     return sent
 
 
-def probed(sent, refused=True):
+def probe_result(sent, refused=True):
     return ProbeEnded(SearcherKey(sent.searcher_id), refused)
 
 
-def counted(bench):
+def counted_searchers(bench):
     row = bench.decider.tables.suspects.get(b"f")
     return [key.searcher_id for key in row.ended] if row else []
 
 
-class TestNoEnd:
-    """A broken send alone says nothing of its searcher."""
+class TestUnconfirmed:
+    """A broken send alone doesn't count as the end of its searcher."""
 
-    def test_connections_dropped_by_searchers_that_run_on(self):
-        """A broken send alone says nothing of its searcher."""
+    def test_connections_closed_by_running_searchers(self):
         bench = Bench()
         for i in range(6):
             (sent,) = starts(bench.arrive(single(), fingerprint=b"f"))
@@ -46,14 +45,14 @@
             bench.pass_time(1.5)
         assert bench.decider.tables.suspects.get(b"f") is None
 
-    def test_answers_that_break_off_midway(self):
+    def test_connection_broken_within_an_answer(self):
         bench = Bench()
         (sent,) = starts(bench.arrive(single(), fingerprint=b"f"))
         out = bench.end(sent, Outcome.BROKEN, began=True)
         assert not any(isinstance(msg, ProbeSearcher) for msg in out)
 
-    def test_request_that_nobody_can_name(self):
-        """An embedder gives no fingerprint; all such are not one request."""
+    def test_request_without_a_fingerprint(self):
+        """Requests of an embedder without fingerprints aren't one request."""
         bench = Bench()
         (sent,) = starts(bench.arrive(single()))
         out = bench.end(sent, Outcome.BROKEN)
@@ -61,37 +60,37 @@
 
     def test_searcher_that_answers_later(self):
         bench = Bench(searchers=1)
-        sent = break_off(bench)
+        sent = break_send(bench)
         bench.pass_time(1.0)
         (again,) = starts(bench.arrive(single(), fingerprint=b"g"))
         bench.answer(again)
-        bench.step(probed(sent))
-        assert counted(bench) == []
+        bench.step(probe_result(sent))
+        assert counted_searchers(bench) == []
 
 
-class TestEnd:
-    """What makes it sure."""
+class TestConfirmed:
+    """Observations that confirm the end of a searcher."""
 
     def test_nothing_listens_there(self):
         bench = Bench()
-        sent = break_off(bench)
-        bench.step(probed(sent))
-        assert counted(bench) == [sent.searcher_id]
+        sent = break_send(bench)
+        bench.step(probe_result(sent))
+        assert counted_searchers(bench) == [sent.searcher_id]
 
-    def test_control_tells_that_it_is_lost(self):
-        """Its machine answers nothing, not even that nobody listens."""
+    def test_control_reports_it_as_lost(self):
+        """Its machine doesn't answer at all, so the probe isn't refused."""
         bench = Bench()
-        sent = break_off(bench)
-        bench.step(probed(sent, refused=False))
+        sent = break_send(bench)
+        bench.step(probe_result(sent, refused=False))
         bench.pass_time(3.0)
         bench.learn(sent.searcher_id, "s0", SearcherState.LOST, seq=1)
-        assert counted(bench) == [sent.searcher_id]
+        assert counted_searchers(bench) == [sent.searcher_id]
 
-    def test_it_started_again_under_its_id(self):
-        """The dial reached the new start already."""
+    def test_it_restarted_under_its_id(self):
+        """The probe was accepted by the new process."""
         bench = Bench()
-        sent = break_off(bench)
-        bench.step(probed(sent, refused=False))
+        sent = break_send(bench)
+        bench.step(probe_result(sent, refused=False))
         row = SearcherRow(
             sent.searcher_id,
             "s0",
@@ -104,7 +103,7 @@
             start=7,
         )
         bench.step(SearcherLearnt(row))
-        assert counted(bench) == [sent.searcher_id]
+        assert counted_searchers(bench) == [sent.searcher_id]
 
     def test_all_requests_that_ran_there_count(self):
         bench = Bench(searchers=1)
@@ -113,36 +112,36 @@
             for name in (b"f", b"g")
         )
         bench.end(first, Outcome.BROKEN)
-        bench.step(probed(first))
+        bench.step(probe_result(first))
         bench.end(second, Outcome.BROKEN)
         for name in (b"f", b"g"):
             assert bench.decider.tables.suspects.get(name).ended
 
-    def test_it_is_told_to_control_a_moment_later(self):
+    def test_it_is_reported_to_control_after_a_delay(self):
         bench = Bench()
-        sent = break_off(bench)
-        bench.step(probed(sent))
-        told = bench.pass_time(2 * REPORT_S)
-        (seen,) = [msg for msg in told if isinstance(msg, SuspectsSeen)]
+        sent = break_send(bench)
+        bench.step(probe_result(sent))
+        out = bench.pass_time(2 * REPORT_S)
+        (seen,) = [msg for msg in out if isinstance(msg, SuspectsSeen)]
         assert seen.rows[0].ended == (SearcherKey(sent.searcher_id),)
 
-    def test_a_query_that_is_answered_meanwhile_is_never_told(self):
+    def test_query_answered_meanwhile_is_not_reported(self):
         bench = Bench(services=4)
         sent = starts(bench.arrive(gather(), fingerprint=b"f"))
         bench.end(sent[0], Outcome.BROKEN)
-        bench.step(probed(sent[0]))
+        bench.step(probe_result(sent[0]))
         for one in sent[1:]:
             bench.answer(one)
-        told = bench.pass_time(2 * REPORT_S)
-        assert not any(isinstance(msg, SuspectsSeen) for msg in told)
-        assert counted(bench) == []
+        out = bench.pass_time(2 * REPORT_S)
+        assert not any(isinstance(msg, SuspectsSeen) for msg in out)
+        assert counted_searchers(bench) == []
 
-    def test_an_answer_is_told_if_others_know_of_the_end(self):
-        """Another entry saw one too, before this one had told of its own."""
+    def test_answer_is_reported_if_others_reported_an_end(self):
+        """Another entry reported an end before this one reported its own."""
         bench = Bench(services=4)
         sent = starts(bench.arrive(gather(), fingerprint=b"f"))
         bench.end(sent[0], Outcome.BROKEN)
-        bench.step(probed(sent[0]))
+        bench.step(probe_result(sent[0]))
         other = Suspect(b"f", ended=(SearcherKey("elsewhere"),))
         bench.step(SuspectsLearnt((other,)))
         bench.answer(sent[1])
@@ -150,7 +149,7 @@
         (seen,) = [x for x in bench.said if isinstance(x, SuspectsSeen)]
         assert seen.rows[0].epoch == 1
 
-    def test_each_searcher_is_dialled_once(self):
+    def test_each_searcher_is_probed_once(self):
         bench = Bench(searchers=1)
         sends = [
             starts(bench.arrive(single(), fingerprint=b"f"))[0]
@@ -158,5 +157,5 @@
         ]
         for one in sends:
             bench.end(one, Outcome.BROKEN)
-        dialled = [m for m in bench.said if isinstance(m, ProbeSearcher)]
-        assert len(dialled) == 1
+        probes = [m for m in bench.said if isinstance(m, ProbeSearcher)]
+        assert len(probes) == 1
--- a/tests/test_forward/test_gathers.py
+++ b/tests/test_forward/test_gathers.py
@@ -1,4 +1,4 @@
-"""Second sends and queries over many shards, under a fake clock."""
+"""Hedges and queries over many shards, under a fake clock."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class TestSecondSends:
-    """Sends beside a late one."""
+    """Hedges beside a late send."""
 
-    def test_late_searcher_is_overtaken(self):
+    def test_late_send_is_hedged(self):
         """A searcher pauses for 250 ms; the answer comes from another."""
         bench = Bench()
         route = single()
@@ -30,13 +30,12 @@
         (end,) = answers(bench.answer(second, b"fast"))
         assert end.answer.body == b"fast"
 
-    def test_slow_searchers_do_not_delay_second_sends(self):
-        """A slow searcher doesn't change when a send counts as late.
+    def test_slow_searchers_do_not_delay_hedges(self):
+        """Slow searchers don't change when a send counts as late.
 
-        Symptom: with one searcher in seven slow, a shard was missing from
-        most answers although second sends were left.
-        Cause: a send counted as late after the 0.9 quantile of its route's
-        times, and that was the time of the slow ones.
+        Guards against answers without a shard although the budget is not used
+        up: with one searcher in seven slow, the 0.9 quantile of the route's
+        times, after which a send is hedged, is the time of the slow ones.
         """
         bench = Bench(searchers=3, retry_slack=100.0)
         route = single(time_limit_s=5.0, objective_s=1.0)
@@ -47,17 +46,17 @@
         bench.arrive(route)
         assert starts(bench.pass_time(0.06))
 
-    def test_loser_is_let_go(self):
+    def test_slower_send_is_cancelled(self):
         bench = Bench()
         route = single()
         warm(bench, route)
         (first,) = starts(bench.arrive(route))
         (second,) = starts(bench.pass_time(0.1))
         bench.answer(second)
-        cuts = [x for x in bench.pass_time(0.1) if type(x) is m.CancelAttempt]
-        assert [cut.attempt_id for cut in cuts] == [first.attempt_id]
+        found = [x for x in bench.pass_time(0.1) if type(x) is m.CancelAttempt]
+        assert [one.attempt_id for one in found] == [first.attempt_id]
 
-    def test_never_more_searchers_than_the_route_allows(self):
+    def test_sends_stay_within_the_attempts_of_the_route(self):
         bench = Bench()
         warm(bench, single())
         first = starts(bench.arrive(single()))
@@ -65,10 +64,10 @@
         assert len(first + rest) == 2
 
     def test_budget_under_a_brown_out(self):
-        """All searchers turn slow at once.
+        """All searchers become slow at once.
 
-        Symptom: load doubled when there was no room for it. Each request got
-        a second send, because each was late.
+        Guards against a hedge for each request, as each is late: that doubles
+        the load when there is no capacity for it.
         """
         bench = Bench(retry_ratio=0.17, retry_slack=20.0, searchers=9)
         warm(bench, single())
@@ -96,7 +95,7 @@
         assert len(end.merged.signatures) == 4
 
     def test_partial_before_the_objective(self):
-        """One shard is late; three of four make an answer in time."""
+        """One shard is late; three of four are enough for an answer."""
         bench = Bench(services=4, searchers=1)
         route = gather()
         *most, late = starts(bench.arrive(route))
@@ -110,7 +109,7 @@
         assert bench.now > began
         assert late.searcher_id not in end.merged.signatures
 
-    def test_below_the_floor_waits_for_more(self):
+    def test_below_the_required_coverage_waits_for_more(self):
         bench = Bench(services=4, searchers=1)
         sends = starts(bench.arrive(gather()))
         for start in sends[:2]:
@@ -119,14 +118,14 @@
         (end,) = answers(bench.answer(sends[2], b"x" * 16))
         assert end.merged.missing == 1
 
-    def test_shards_without_searchers_are_refused_before_any_work(self):
+    def test_shards_without_searchers_are_rejected_before_any_send(self):
         bench = Bench(services=2)
         out = bench.arrive(gather(shards=4, least=0.75))
         assert not starts(out)
         assert answers(out)[0].ending is Ending.NOT_RUN_NO_SEARCHER
 
-    def test_failure_is_no_part(self):
-        """A searcher's error page carries a signature, and is no part."""
+    def test_failed_answer_is_not_merged(self):
+        """An error page isn't merged, although it is signed."""
         bench = Bench(services=4, searchers=1)
         sends = starts(bench.arrive(gather(least=0.75)))
         (again,) = starts(bench.answer(sends[0], b"y" * 16, status=500))
@@ -138,7 +137,7 @@
         assert b"y" not in end.merged.body
 
     @pytest.mark.parametrize("more", [{"is_plain": False}, {"signature": ""}])
-    def test_unsigned_or_encoded_is_no_part(self, more):
+    def test_unsigned_or_encoded_answer_is_not_merged(self, more):
         bench = Bench(services=1, searchers=1)
         (start,) = starts(bench.arrive(gather(shards=1, least=1.0)))
         (again,) = starts(bench.answer(start, b"x" * 16, **more))
--- a/tests/test_forward/test_load.py
+++ b/tests/test_forward/test_load.py
@@ -1,4 +1,4 @@
-"""Loads of both users' sheets, played against modelled searchers."""
+"""Loads of the model's sheets, run against simulated searchers."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
     ),
     slack=65.0,
 )
-"""A third of the grown sheet: what one entry sees is the same."""
+"""A third of the grown sheet; the load on one entry is the same."""
 
 
 def share_of_credit(**policy):
-    """Returns the mean share of two seeds under a slow spell."""
-    plays = [Run(SMALL, 0.15, seed, **policy).play(SECONDS) for seed in (1, 2)]
-    return sum(one.credit / one.owed for one in plays) / len(plays)
+    """Returns the mean share of credit over two seeds with slow searchers."""
+    runs = [Run(SMALL, 0.15, seed, **policy).play(SECONDS) for seed in (1, 2)]
+    return sum(one.credit / one.owed for one in runs) / len(runs)
 
 
 class TestSlowSearchers:
     """One searcher in seven takes 8.5 times as long, from 10 s on."""
 
-    def test_queries_keep_their_shards(self, monkeypatch):
-        """Symptom: 0.80 of the credit at 78 entries and 36 shards.
+    def test_answers_include_nearly_all_shards(self, monkeypatch):
+        """Guards against 0.80 of the credit at 78 entries and 36 shards.
 
-        Sequence: the slow ones raise the 0.9 quantile of the times to their
-        own; second sends wait for it. Each entry sees a searcher every four
-        seconds and forgets in between that it is slow.
+        The slow searchers raise the 0.9 quantile of the times to their own, and
+        hedges wait for it. Each entry sends to a searcher every four seconds
+        only, and the measured slowness decays in between.
         """
         now = share_of_credit()
         monkeypatch.setattr(timing, "MEMORY_S", 1e9)
@@ -48,13 +48,13 @@
 
 
 class TestAllowance:
-    """Second sends on a calm day."""
+    """Retries and hedges under normal load."""
 
     def test_slack_is_used(self):
-        """The slack is spent all along, not once.
+        """The slack is spent in each window, not once.
 
-        Symptom: a third of the allowed second sends was used, and answers
-        left a shard out.
+        Guards against answers without a shard while only a third of the
+        allowance is used.
         """
         figures = Run(SMALL, 0.0, seed=3).play(SECONDS)
         ratio_only = Run(SMALL, 0.0, seed=3, retry_slack=0.0).play(SECONDS)
@@ -68,55 +68,50 @@
         assert figures.sends <= 1.17 * figures.firsts + slack
 
 
-class TestFewQuickSearchers:
-    """A third of the searchers slow: the quick ones get what they can do."""
+class TestFewFastSearchers:
+    """A third of the searchers is slow; the fast ones are fully used."""
 
     SHEET = next(sheet for sheet in SHEETS if sheet.name == "downs")
 
-    def test_word_on_load_steers_nobody_to_slow_ones(self, monkeypatch):
-        """Symptom: 0.83 of the credit where 0.85 could be had.
+    def test_reported_load_does_not_divert_to_slow_ones(self, monkeypatch):
+        """Guards against 0.83 of the credit where 0.85 is possible.
 
-        Sequence: a shard has one quick searcher, which says that it is busy.
-        Each entry hears it and goes to a slow one, whose answer is late.
-        Cause: the word was counted as a queue, though it is over when the
-        next send comes.
+        A shard has one fast searcher, which reports that it is busy. If the
+        report counts as a queue, although it is out of date by the next send,
+        all entries send to slow searchers, whose answers are late.
         """
         seeds = (1, 2, 3)
 
         def credit():
-            plays = [Run(self.SHEET, 0.35, seed).play(20.0) for seed in seeds]
-            return sum(one.credit / one.owed for one in plays) / len(plays)
+            runs = [Run(self.SHEET, 0.35, seed).play(20.0) for seed in seeds]
+            return sum(one.credit / one.owed for one in runs) / len(runs)
 
         now = credit()
-        own_only = choosing._queue
+        own_queue = choosing._queue
 
-        def with_word(row):
-            queue = own_only(row)
+        def queue_with_reported_load(row):
+            queue = own_queue(row)
             return queue + 1.2 * row.others / max(1, row.slots)
 
-        monkeypatch.setattr(choosing, "_queue", with_word)
+        monkeypatch.setattr(choosing, "_queue", queue_with_reported_load)
         assert now > credit()
 
 
-class TestAnswersThatWaitForTheirLastShards:
-    """An entry takes 15 ms from when an answer is due until it has left.
+class TestAnswersSentWhenDue:
+    """An entry takes 15 ms from when an answer is due until it is written.
 
-    At 191 entries half of the answers wait for a last shard until their time
-    is up, as one of 63 shards is nearly always late. They were given 16 ms
-    before the objective, for the ways to the caller and back; the processes
-    had 0.12 of a core, and each merge, write and late timer came on top. In a
-    record of a day half of the callers' times lay just behind the objective of
-    251 ms, so that eight of ten answers earned a tenth:
-
-        from second    asked  in aim   late   p50 ms
-        38                15       3     12    269.3
-        46                 8       2      6    260.4
+    At 191 entries half of the answers wait for a last shard until they are
+    due, as one of 63 shards is nearly always late. If they are due 16 ms before
+    the objective of 251 ms, which only covers the network time of the caller,
+    then merge, write and late timers of a process with 0.12 of a core make
+    eight of ten answers late (p50 of 269.3 and 260.4 ms), and each of these
+    earns a tenth.
     """
 
     SHEET = attrs.evolve(SMALL, caller_s=0.012)
     BUSY = attrs.evolve(SHEET, leave_s=0.015)
 
-    def test_leave_in_time(self, monkeypatch):
+    def test_answers_are_written_in_time(self, monkeypatch):
         figures = Run(self.BUSY, 0.15, seed=1).play(SECONDS)
         monkeypatch.setattr(leaving, "MAX_SHARE_OF_OBJECTIVE", 0.0)
         before = Run(self.BUSY, 0.15, seed=1).play(SECONDS)
