--- a/greengagemoor/forward/arrivals.py
+++ b/greengagemoor/forward/arrivals.py
@@ -1,4 +1,4 @@
-"""Accepts callers' requests: rejects, holds or sends each."""
+"""Handles arriving requests of callers: rejects, holds or sends each."""
 
 from __future__ import annotations
 
@@ -94,10 +94,10 @@
     the request is read.
     """
     policy = tables.policy
-    way = policy.caller_way_s if msg.way_s is None else msg.way_s
-    most = policy.most_way_share * msg.route.objective_s
-    way = min(way + _transmission_s(tables, msg.route), most)
-    return way + policy.caller_read_s
+    network = policy.caller_way_s if msg.way_s is None else msg.way_s
+    limit = policy.most_way_share * msg.route.objective_s
+    network = min(network + _transmission_s(tables, msg.route), limit)
+    return network + policy.caller_read_s
 
 
 def _transmission_s(tables: Tables, route: Route) -> float:
@@ -105,8 +105,8 @@
     if route.gather is None or not tables.link_bytes_per_s:
         return 0.0
     records = RECORD_BYTES * route.gather.top
-    heads = HEAD_BYTES + SIGNATURE_BYTES * len(route.gather.services)
-    return (QUEUED_BYTES + records + heads) / tables.link_bytes_per_s
+    headers = HEAD_BYTES + SIGNATURE_BYTES * len(route.gather.services)
+    return (QUEUED_BYTES + records + headers) / tables.link_bytes_per_s
 
 
 def _services(tables: Tables, route: Route) -> tuple[str, ...]:
@@ -134,12 +134,12 @@
 
 
 def _set_timers(tables: Tables, request: Request) -> None:
-    look = partial(completion.look, tables, request)
+    check = partial(completion.look, tables, request)
     if request.route.gather is not None:
-        tables.set_timer(request.give_at, look)
+        tables.set_timer(request.give_at, check)
     else:
-        busy = tables.policy.busy_share * request.route.objective_s
-        at = tables.now + busy
+        max_wait = tables.policy.busy_share * request.route.objective_s
+        at = tables.now + max_wait
         tables.set_timer(at, partial(_reject_unsent, tables, request))
     tables.set_timer(request.ends_at, partial(_end_at_limit, tables, request))
 
@@ -147,7 +147,7 @@
 def _reject_unsent(tables: Tables, request: Request) -> None:
     """Rejects a request that found no free connection in time.
 
-    The caller then has time left to retry elsewhere.
+    The caller then has time left to retry.
     """
     if not request.done and not request.sends:
         completion.finish(tables, request, _unsent_ending(request))
