--- a/greengagemoor/aio/__init__.py
+++ b/greengagemoor/aio/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets of the event loop: HTTP both ways, links between processes."""
+"""Asyncio networking: HTTP server, HTTP client, links between processes."""
--- a/greengagemoor/aio/client.py
+++ b/greengagemoor/aio/client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 towards searchers: kept connections, one request at a time."""
+"""HTTP/1.1 client for searchers: keep-alive, no pipelining."""
 
 from __future__ import annotations
 
@@ -17,18 +17,20 @@
 
     from greengagemoor.aio.pool import Pool
 
-DEFAULT_IDLE_S = 4.0
-MOST_BODY = 4_194_304
+DEFAULT_IDLE_TIMEOUT_S = 4.0
+"""Idle timeout of a searcher that sends no ``Keep-Alive`` header."""
+MAX_BODY_BYTES = 4_194_304
+"""Bound on a response body."""
 Headers = Sequence[tuple[bytes, bytes]]
 KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=(\d+)")
 
 
 @values.frozen
 class HttpAnswer:
-    """A whole answer.
+    """A complete response.
 
     Attributes:
-        closes: the other side ends the connection after it.
+        closes: whether the connection can't be reused after it.
     """
 
     status: int
@@ -39,13 +41,13 @@
 
 @values.frozen
 class HttpFailure:
-    """No whole answer came.
+    """The request ended without a complete response.
 
     Attributes:
-        sent: whether bytes of the request may have reached the other side.
-        stale: the connection had been used before and broke before any byte
-            of this answer.
-        began: some of this answer had come.
+        sent: whether bytes of the request may have reached the searcher.
+        stale: whether a reused connection broke before the first byte of the
+            response.
+        began: whether part of the response was received.
     """
 
     sent: bool
@@ -55,23 +57,23 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection to a searcher."""
+    """One connection to a searcher, with at most one request in flight."""
 
     def __init__(self, pool: Pool, address: str):
         self._pool = pool
         self.address = address
         self.transport: asyncio.Transport | None = None
         self.idle_until = 0.0
-        self._used = False
+        self._was_used = False
         self._done: Callable[[HttpAnswer | HttpFailure], None] | None = None
-        self._got_bytes = False
-        self._dead = False
+        self._received_bytes = False
+        self._must_close = False
         self._parser = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Takes the connection."""
+        """Stores the transport and sets the socket options."""
         self.transport = transport
-        sockets.tune(transport)
+        sockets.set_options(transport)
 
     def send(
         self,
@@ -79,17 +81,17 @@
         done: Callable[[HttpAnswer | HttpFailure], None],
         is_mine: Callable[[Headers], bool],
     ) -> None:
-        """Sends a request; ``done`` is called once with its end.
+        """Sends a request.
 
         Args:
-            data: the whole request.
-            done: takes the end.
-            is_mine: tells by its headers whether an answer is to this
-                request; others are skipped.
+            data: the complete request.
+            done: called once, with the response or the failure.
+            is_mine: whether a response with these headers belongs to this
+                request; other responses are skipped.
         """
         self._done = done
         self._is_mine = is_mine
-        self._got_bytes = False
+        self._received_bytes = False
         self._status = 0
         self._headers: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
@@ -100,78 +102,78 @@
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        """Feeds the parser; bytes that nobody asked for end the connection."""
+        """Feeds the parser; closes on bytes without a request in flight."""
         if self._done is None:
             self.kill()
             return
-        self._got_bytes = True
+        self._received_bytes = True
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as exc:
-            self._fail(f"not an answer: {type(exc).__name__}")
+            self._fail(f"invalid HTTP response: {type(exc).__name__}")
             return
         if self._complete:
             self._finish()
 
     def on_message_begin(self) -> None:
-        """Notes a second answer behind a whole one, which is nobody's."""
+        """Rules out reuse if a second response follows the complete one."""
         if self._complete:
-            self._dead = True
+            self._must_close = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes one header."""
+        """Stores one header."""
         if not self._complete:
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Reads the status; 1xx answers are followed by the real one."""
+        """Stores the status; a final response follows one with status 1xx."""
         if not self._complete:
             self._status = self._parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        """Takes a piece of the body."""
+        """Stores a piece of the body."""
         if self._complete:
             return
         self._size += len(body)
-        if self._size > MOST_BODY:
-            raise ValueError("the body is too large")
+        if self._size > MAX_BODY_BYTES:
+            raise ValueError("response body is too large")
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Notes that the answer is whole, or skips one that isn't ours.
+        """Completes the response, or skips one to another request.
 
-        A searcher may answer an earlier request once more. The copy comes
-        where our answer is due; taken for it, it would reach another caller.
+        A searcher may answer an earlier request a second time. Without the
+        check that duplicate would be delivered to the caller of this request.
         """
         if self._complete:
             return
         if self._status >= 200 and self._is_mine(self._headers):
             self._complete = True
-            # Asked later, the parser always answers no.
+            # Valid only within this callback; later it is always false.
             self._keep_alive = self._parser.should_keep_alive()
             return
         if self._status >= 200:
-            self._dead = True
+            self._must_close = True
         self._headers.clear()
         self._body.clear()
         self._size = 0
 
     def _finish(self) -> None:
         done, self._done = self._done, None
-        answer = self._answer()
-        keep = not answer.closes and not self._dead
-        if keep and self.transport.get_write_buffer_size():
-            # It answered before it read our whole body: what is still to be
-            # sent would be taken for the next request.
-            keep = False
-        if keep:
-            self._used = True
-            self._pool.put_back(self, _idle_timeout(answer.headers))
+        answer = self._build_answer()
+        reuse = not answer.closes and not self._must_close
+        if reuse and self.transport.get_write_buffer_size():
+            # The searcher answered before it read the complete request; it
+            # would parse the rest of it as the next request.
+            reuse = False
+        if reuse:
+            self._was_used = True
+            self._pool.release(self, _server_idle_timeout(answer.headers))
         else:
             self.kill()
         done(answer)
 
-    def _answer(self) -> HttpAnswer:
+    def _build_answer(self) -> HttpAnswer:
         return HttpAnswer(
             self._status,
             tuple(self._headers),
@@ -180,8 +182,8 @@
         )
 
     def eof_received(self) -> bool:
-        """An answer without a length ends here, if it has begun."""
-        if self._done is not None and self._is_unframed():
+        """Completes a response that ends with its connection."""
+        if self._done is not None and self._has_no_length():
             done, self._done = self._done, None
             answer = HttpAnswer(
                 self._status,
@@ -193,42 +195,44 @@
             done(answer)
         return False
 
-    def _is_unframed(self) -> bool:
+    def _has_no_length(self) -> bool:
         if self._status < 200 or self._complete:
             return False
-        framing = {b"content-length", b"transfer-encoding"}
-        return not any(name.lower() in framing for name, _ in self._headers)
+        length_headers = {b"content-length", b"transfer-encoding"}
+        return not any(
+            name.lower() in length_headers for name, _ in self._headers
+        )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends what waits for an answer."""
-        self._pool.forget(self)
+        """Fails the request in flight, if any."""
+        self._pool.discard_connection(self)
         self._fail(str(exc or "closed"))
 
     def _fail(self, reason: str) -> None:
         done, self._done = self._done, None
-        stale = self._used and not self._got_bytes
+        stale = self._was_used and not self._received_bytes
         self.kill()
         if done is not None:
-            began = self._got_bytes
+            began = self._received_bytes
             done(HttpFailure(True, stale, reason, began))
 
     def cancel(self) -> None:
-        """Closes the connection; the searcher drops what it runs."""
+        """Closes the connection, so that the searcher cancels the request."""
         self._done = None
         self.kill()
 
     def kill(self) -> None:
-        """Closes at once."""
-        self._dead = True
-        self._pool.forget(self)
+        """Closes the connection at once."""
+        self._must_close = True
+        self._pool.discard_connection(self)
         if self.transport is not None:
             self.transport.abort()
 
 
-def _idle_timeout(headers: tuple[tuple[bytes, bytes], ...]) -> float:
+def _server_idle_timeout(headers: tuple[tuple[bytes, bytes], ...]) -> float:
     for name, value in headers:
         if name.lower() == b"keep-alive":
             found = KEEP_ALIVE_TIMEOUT.search(value)
             if found:
                 return float(found[1])
-    return DEFAULT_IDLE_S
+    return DEFAULT_IDLE_TIMEOUT_S
--- a/greengagemoor/aio/connection.py
+++ b/greengagemoor/aio/connection.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 towards callers: one protocol object a connection."""
+"""HTTP/1.1 server protocol: one object per caller connection."""
 
 from __future__ import annotations
 
@@ -15,17 +15,19 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-MOST_PIPELINED = 16
-LOOK_S = 0.5
+MAX_PIPELINED = 16
+"""Requests queued on a connection before reading pauses."""
+TIMEOUT_CHECK_S = 0.5
+"""Interval at which a connection checks its timeouts."""
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-PHRASES = {status.value: status.phrase for status in HTTPStatus}
+REASON_PHRASES = {status.value: status.phrase for status in HTTPStatus}
 
 
 class HttpConnection(asyncio.Protocol):
-    """Parses requests, hands them on one at a time, writes replies in order.
+    """Parses requests, dispatches one at a time, writes replies in order.
 
-    A caller may send the next request early; it waits, and reading pauses
-    once too many do, so that a caller can't fill our memory.
+    Pipelined requests are queued. Reading pauses when the queue is full, which
+    bounds the memory that one caller can use.
     """
 
     def __init__(self, handler: Handler, limits: Limits, open_conns: set):
@@ -43,52 +45,52 @@
         self._idle_since = self._loop.time()
         self._keep_alive: deque[bool] = deque()
         self._closing = False
-        self._broken = False
-        self._taken = 0
-        self._begin()
+        self._is_rejected = False
+        self._request_count = 0
+        self._reset_message()
 
-    # Transport.
+    # Transport callbacks.
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Takes the connection."""
+        """Registers the connection and sets the socket options."""
         self._transport = transport
-        sockets.tune(transport)
+        sockets.set_options(transport)
         self._open_conns.add(self)
-        self._look_later()
+        self._schedule_timeout_check()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tells the handler that whoever waited is gone."""
+        """Notifies the handler if a request is in progress."""
         self._open_conns.discard(self)
         self._closing = True
-        waiting, self._current = self._current, None
+        pending, self._current = self._current, None
         self._queue.clear()
-        if waiting is not None:
-            self._handler.gone(waiting)
+        if pending is not None:
+            self._handler.gone(pending)
 
     def eof_received(self) -> bool:
-        """Treats a half-closed connection as a caller that left."""
+        """Closes the connection: a half-closed one counts as closed."""
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Feeds the parser."""
-        if self._broken or self._closing:
+        """Feeds the parser; rejects what it can't parse."""
+        if self._is_rejected or self._closing:
             return
         if self._started_at is None:
             self._started_at = self._loop.time()
         try:
             self._parser.feed_data(data)
         except _TooLargeError as exc:
-            self._refuse(exc.status)
+            self._reject(exc.status)
         except httptools.HttpParserUpgrade:
-            self._refuse(400)
+            self._reject(400)
         except httptools.HttpParserError as exc:
             cause = exc.__context__
             too_large = isinstance(cause, _TooLargeError)
-            self._refuse(cause.status if too_large else 400)
+            self._reject(cause.status if too_large else 400)
 
-    # Parser.
+    # Parser callbacks.
 
-    def _begin(self) -> None:
+    def _reset_message(self) -> None:
         self._url = b""
         self._headers: list[tuple[bytes, bytes]] = []
         self._body: list[bytes] = []
@@ -96,18 +98,18 @@
         self._body_size = 0
 
     def on_message_begin(self) -> None:
-        """Starts a request."""
-        self._begin()
+        """Starts a new request."""
+        self._reset_message()
         if self._started_at is None:
             self._started_at = self._loop.time()
 
     def on_url(self, url: bytes) -> None:
-        """Takes the target, which may come in pieces."""
+        """Appends a piece of the request target."""
         self._url += url
         self._count_header(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes one header."""
+        """Stores one header."""
         self._headers.append((name, value))
         self._count_header(len(name) + len(value) + 4)
 
@@ -117,7 +119,7 @@
             raise _TooLargeError(431)
 
     def on_headers_complete(self) -> None:
-        """Answers an expectation; checks the announced length."""
+        """Answers ``Expect: 100-continue`` and checks ``Content-Length``."""
         for name, value in self._headers:
             lower = name.lower()
             if lower == b"expect" and value.lower() == b"100-continue":
@@ -128,14 +130,14 @@
                 raise _TooLargeError(413)
 
     def on_body(self, body: bytes) -> None:
-        """Takes a piece of the body."""
+        """Stores a piece of the body."""
         self._body_size += len(body)
         if self._body_size > self._limits.body_bytes:
             raise _TooLargeError(413)
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Hands the request on, or queues it behind the one under way."""
+        """Queues the request; dispatches it if none is in progress."""
         req = HttpRequest(
             method=self._parser.get_method().decode("latin-1"),
             target=self._url.decode("latin-1"),
@@ -145,23 +147,23 @@
             conn=self,
         )
         self._started_at = None
-        req.is_first = not self._taken
-        self._taken += 1
+        req.is_first = not self._request_count
+        self._request_count += 1
         self._keep_alive.append(self._parser.should_keep_alive())
         self._queue.append(req)
-        if len(self._queue) >= MOST_PIPELINED:
+        if len(self._queue) >= MAX_PIPELINED:
             self._transport.pause_reading()
-        self._next()
+        self._dispatch_next()
 
-    def _next(self) -> None:
+    def _dispatch_next(self) -> None:
         if self._current is not None or not self._queue or self._closing:
             return
         self._current = self._queue.popleft()
-        if len(self._queue) < MOST_PIPELINED:
+        if len(self._queue) < MAX_PIPELINED:
             self._transport.resume_reading()
         self._handler.take(self._current)
 
-    # Answers.
+    # Replies.
 
     def reply(
         self,
@@ -172,21 +174,21 @@
         *,
         close: bool = False,
     ) -> None:
-        """Writes the answer to the request under way.
+        """Writes the reply to the request in progress.
 
-        An answer to any other request is dropped: its caller has gone.
+        A reply to any other request is discarded: its caller has disconnected.
         """
         if req is not self._current or self._transport is None:
             return
         self._current = None
         keep = self._keep_alive.popleft() and not close
-        keep = keep and not self._limits.closing and not self._broken
+        keep = keep and not self._limits.closing and not self._is_rejected
         self._write(status, headers, body, keep=keep, head=req.method == "HEAD")
         self._idle_since = self._loop.time()
         if not keep:
             self.close()
             return
-        self._next()
+        self._dispatch_next()
 
     def _write(
         self,
@@ -197,69 +199,69 @@
         keep: bool,
         head: bool = False,
     ) -> None:
-        phrase = PHRASES.get(status, "Status")
+        phrase = REASON_PHRASES.get(status, "Status")
         lines = [f"HTTP/1.1 {status} {phrase}\r\n".encode()]
         lines += [b"%s: %s\r\n" % pair for pair in headers]
         if status >= 200 and status != 204:
             lines.append(b"Content-Length: %d\r\n" % len(body))
-        lines.append(b"Connection: %s\r\n" % self._connection_words(keep))
+        lines.append(b"Connection: %s\r\n" % self._connection_option(keep))
         lines.append(b"\r\n")
         if not head:
             lines.append(body)
         self._transport.write(b"".join(lines))
 
-    def _connection_words(self, keep: bool) -> bytes:
+    def _connection_option(self, keep: bool) -> bytes:
         return b"keep-alive" if keep else b"close"
 
-    def _refuse(self, status: int) -> None:
-        """Answers what can't be parsed, once what came before is answered."""
-        self._broken = True
+    def _reject(self, status: int) -> None:
+        """Stops reading; sends an error unless a request is in progress."""
+        self._is_rejected = True
         if self._current is None and not self._closing:
             self._write(status, (), b"", keep=False)
             self.close()
 
     def close(self) -> None:
-        """Closes after what is written has gone out."""
+        """Closes the connection after flushing the write buffer."""
         self._closing = True
         if self._transport is not None:
             self._transport.close()
 
     @property
     def round_trip_s(self) -> float | None:
-        """Round trip to the caller; None if it isn't known."""
+        """Round-trip time to the caller; None if not known."""
         if self._transport is None:
             return None
         return sockets.round_trip_s(self._transport)
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is under way or partly here."""
+        """Whether no request is in progress or partly received."""
         return self._current is None and self._started_at is None
 
     def close_if_idle(self) -> None:
-        """Closes a connection on which nothing is under way."""
+        """Closes the connection if it is idle."""
         if self.is_idle:
             self.close()
 
-    def _look_later(self) -> None:
+    def _schedule_timeout_check(self) -> None:
         if not self._closing:
-            self._loop.call_later(LOOK_S, self._look)
+            self._loop.call_later(TIMEOUT_CHECK_S, self._check_timeouts)
 
-    def _look(self) -> None:
-        """Ends connections that are slow to send or idle for too long.
+    def _check_timeouts(self) -> None:
+        """Closes the connection on a header timeout or an idle timeout.
 
-        Each open connection holds memory and a descriptor; callers that send
-        a header a byte a minute would take all of them.
+        Each open connection holds memory and a file descriptor; callers that
+        send a header at a byte a minute would exhaust them.
         """
         now = self._loop.time()
         if self._current is None and not self._closing:
             started = self._started_at
             if started is not None:
                 if now - started > self._limits.header_timeout_s:
-                    self._refuse(408)
+                    self._reject(408)
             elif now - self._idle_since > self._limits.idle_timeout_s:
                 self.close()
-        self._look_later()
+        self._schedule_timeout_check()
 
 
 class _TooLargeError(Exception):
--- a/greengagemoor/aio/dialpace.py
+++ b/greengagemoor/aio/dialpace.py
@@ -1,4 +1,4 @@
-"""How often an address is dialled that does not answer."""
+"""Timeouts and pauses for connecting to an address that does not answer."""
 
 from __future__ import annotations
 
@@ -6,21 +6,23 @@
 
 
 @attrs.define(eq=False, repr=False)
-class DialPace:
-    """How long a dial may take, and how long to wait after one that failed.
+class DialBackoff:
+    """Exponential backoff of the connect timeout and of the pause after it.
 
-    After a loss of power machines come back some ten milliseconds apart. One
-    that is still dark drops the packet that opens a connection, and it is sent
-    again after a second only: an entry had its first link a second after its
-    start. Short dials at first find the other side as soon as it listens;
-    ever longer ones leave a machine that stays dark alone.
+    After a power loss machines come back some ten milliseconds apart. One that
+    is still down drops the SYN packet, which TCP retransmits only after a
+    second, so an entry got its first link a second after its start. Short
+    first attempts connect as soon as the other side listens; longer ones then
+    bound the load on a machine that stays down.
 
     Attributes:
-        connect_s: longest wait for the connection; at first some ten round
-            trips between data centres.
-        wait_s: pause after a failure.
-        growth: of both, with each failure; nine dials in the first second.
-        longest_s: bound of both; a dark machine costs a packet each 1.6 s.
+        connect_s: connect timeout; at first some ten round trips between data
+            centres.
+        wait_s: pause after a failed attempt.
+        growth: factor on both per failure; makes nine attempts in the first
+            second.
+        longest_s: bound on each; a machine that stays down gets a packet every
+            1.6 s.
     """
 
     connect_s: float = 0.05
@@ -29,6 +31,6 @@
     longest_s: float = 0.8
 
     def note_failure(self) -> None:
-        """Makes the next dial and the pause after it longer."""
+        """Lengthens the next connect timeout and pause."""
         self.connect_s = min(self.growth * self.connect_s, self.longest_s)
         self.wait_s = min(self.growth * self.wait_s, self.longest_s)
--- a/greengagemoor/aio/links.py
+++ b/greengagemoor/aio/links.py
@@ -1,4 +1,4 @@
-"""Links between processes of ours: framed batches of messages over TCP."""
+"""Links between instances: framed batches of messages over TCP."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from greengagemoor import log
 from greengagemoor.aio import sockets
-from greengagemoor.aio.dialpace import DialPace
+from greengagemoor.aio.dialpace import DialBackoff
 from greengagemoor.control.messages import Received, Send
 from greengagemoor.errors import WireError
 from greengagemoor.feed.messages import LinkDown, LinkUp
@@ -20,78 +20,83 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-HEAD = struct.Struct("!I")
-MOST_FRAME = 16_777_216
-PACKED = 0x8000_0000
-"""Bit of a frame's head that says that its batch is compressed."""
-PACK_FROM = 400
-"""Bytes from which a batch is compressed: the rows of 118 searchers are 7.7 KB,
-and 3.1 KB packed; what is shorter gains little."""
-PACK_LEVEL = 1
-PACKED_KEPT = 4
-"""Batches kept compressed: those of one moment, in different company."""
+FRAME_HEADER = struct.Struct("!I")
+MAX_FRAME_BYTES = 16_777_216
+COMPRESSED_FLAG = 0x8000_0000
+"""Flag in the frame header, next to the size: the batch is compressed."""
+COMPRESS_FROM_BYTES = 400
+"""Least size of a batch that is compressed. The rows of 118 searchers shrink
+from 7.7 KB to 3.1 KB; shorter batches gain little."""
+COMPRESSION_LEVEL = 1
+COMPRESSED_CACHE_SIZE = 4
+"""Compressed batches in the cache: several batches are broadcast at a time."""
 KEEP_ALIVE_S = 0.5
-SILENT_S = 1.7
-"""A link without a byte for three keep-alives is dead: a cut or a freeze drops
+"""Interval of keep-alives from the dialling side."""
+SILENCE_TIMEOUT_S = 1.7
+"""The accepting side closes a link after this long without a byte, that is,
+after three missing keep-alives: a network partition or a frozen process closes
 no connection by itself."""
 ACCEPTED_KEEP_ALIVE_S = 1.0
-DIALLED_SILENT_S = 2.3
-"""The side that was dialled speaks half as often: callers are given an entry
-until its link is dead, while an entry whose link is dead has others."""
-LOOK_S = 0.1
-"""How often a dialled link is looked at, to dial it again once it is gone."""
+"""Interval of keep-alives from the accepting side. It is longer because an
+entry, which dials, has other links if one fails; the accepting side must detect
+failures sooner, as callers are sent to an entry until its link is closed."""
+DIALLED_SILENCE_TIMEOUT_S = 2.3
+"""The dialling side closes a link after this long without a byte."""
+CLOSED_CHECK_S = 0.1
+"""Interval at which the dialling side checks whether a link has closed."""
 
 
 class Link(asyncio.Protocol):
-    """One connection to another process; both sides send."""
+    """One connection to another instance; both sides send."""
 
     def __init__(self, links: Links, dialled: str = ""):
-        """Starts unnamed.
+        """Makes a link whose peer is not known yet.
 
         Args:
-            links: all links of this process.
-            dialled: the address, if this side opened the connection.
+            links: all links of this instance.
+            dialled: the peer's address if this side opened the connection,
+                '' otherwise.
         """
         self._links = links
         self.dialled = dialled
         self.name = ""
-        self.heard_at = 0.0
-        self.sent_at = 0.0
+        self.last_received_at = 0.0
+        self.last_sent_at = 0.0
         self.address = ""
-        self._named = False
+        self._name_sent = False
         self._buffer = bytearray()
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Takes the connection; the side that dialled speaks first."""
+        """Registers the link; the dialling side sends the first frame."""
         self._transport = transport
-        sockets.tune(transport)
-        self.heard_at = self._links.now()
+        sockets.set_options(transport)
+        self.last_received_at = self._links.now()
         self._links.open.add(self)
         if self.dialled:
             self.send([])
 
     def data_received(self, data: bytes) -> None:
-        """Cuts frames out of what came."""
-        self.heard_at = self._links.now()
+        """Splits the received bytes into frames."""
+        self.last_received_at = self._links.now()
         self._buffer += data
-        while len(self._buffer) >= HEAD.size:
-            (head,) = HEAD.unpack_from(self._buffer)
-            size = head & ~PACKED
-            if size > MOST_FRAME:
+        while len(self._buffer) >= FRAME_HEADER.size:
+            (head,) = FRAME_HEADER.unpack_from(self._buffer)
+            size = head & ~COMPRESSED_FLAG
+            if size > MAX_FRAME_BYTES:
                 log.event("link_bad_frame", level="ERROR", size=size)
                 self.close()
                 return
-            end = HEAD.size + size
+            end = FRAME_HEADER.size + size
             if len(self._buffer) < end:
                 return
-            frame = bytes(self._buffer[HEAD.size : end])
+            frame = bytes(self._buffer[FRAME_HEADER.size : end])
             del self._buffer[:end]
-            self._take(frame, packed=bool(head & PACKED))
+            self._handle_frame(frame, compressed=bool(head & COMPRESSED_FLAG))
 
-    def _take(self, frame: bytes, *, packed: bool) -> None:
+    def _handle_frame(self, frame: bytes, *, compressed: bool) -> None:
         try:
-            data = _unpack(frame) if packed else frame
+            data = _decompress(frame) if compressed else frame
             batch = pb.Batch.FromString(data)
             payloads = codec.from_batch(batch)
         except (WireError, ValueError, zlib.error) as exc:
@@ -99,75 +104,77 @@
             self.close()
             return
         self.address = batch.address or self.address
-        self._links.received(self, batch.sender, payloads)
+        self._links.handle_batch(self, batch.sender, payloads)
 
     def send(self, payloads: list) -> None:
-        """Sends messages in one frame; without any it is a keep-alive.
+        """Sends messages in one frame; an empty frame is a keep-alive.
 
-        The first frame names this process; repeated in each frame, name and
-        address were 25 of a keep-alive's 34 bytes.
+        Only the first frame carries this instance's name and address; in every
+        frame they would be 25 of a keep-alive's 34 bytes.
         """
-        self.sent_at = self._links.now()
+        self.last_sent_at = self._links.now()
         name, address = self._links.name, self._links.address
-        if self._named:
+        if self._name_sent:
             name = address = ""
-        self._named = True
+        self._name_sent = True
         data = codec.to_batch(name, address, payloads).SerializeToString()
         head = len(data)
-        if len(data) >= PACK_FROM:
-            data = _pack(data)
-            head = len(data) | PACKED
-        self._links.sent_bytes += HEAD.size + len(data)
-        self._transport.write(HEAD.pack(head) + data)
+        if len(data) >= COMPRESS_FROM_BYTES:
+            data = _compress(data)
+            head = len(data) | COMPRESSED_FLAG
+        self._links.sent_bytes += FRAME_HEADER.size + len(data)
+        self._transport.write(FRAME_HEADER.pack(head) + data)
 
     def is_silent(self, now: float) -> bool:
-        """Whether nothing came for so long that the link is dead."""
-        limit = DIALLED_SILENT_S if self.dialled else SILENT_S
-        return now - self.heard_at > limit
+        """Whether the silence timeout has passed."""
+        limit = DIALLED_SILENCE_TIMEOUT_S if self.dialled else SILENCE_TIMEOUT_S
+        return now - self.last_received_at > limit
 
     def is_due(self, now: float) -> bool:
         """Whether a keep-alive is due."""
         pause = KEEP_ALIVE_S if self.dialled else ACCEPTED_KEEP_ALIVE_S
-        return now - self.sent_at >= pause
+        return now - self.last_sent_at >= pause
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tells that the link is gone."""
-        self._links.lost(self)
+        """Removes the link from the links of this instance."""
+        self._links.handle_closed(self)
 
     def close(self) -> None:
-        """Closes at once."""
+        """Closes the connection at once."""
         if self._transport is not None:
             self._transport.abort()
 
 
-@lru_cache(maxsize=PACKED_KEPT)
-def _pack(data: bytes) -> bytes:
-    """Compresses a batch; what goes out to many alike, once.
+@lru_cache(maxsize=COMPRESSED_CACHE_SIZE)
+def _compress(data: bytes) -> bytes:
+    """Compresses a batch; one that is sent to many peers is compressed once.
 
-    After a loss of power all entries get the same rows in the same moment.
+    After a power loss all entries are sent the same rows at the same time.
     """
-    return zlib.compress(data, PACK_LEVEL)
+    return zlib.compress(data, COMPRESSION_LEVEL)
 
 
-def _unpack(frame: bytes) -> bytes:
-    """Decompresses a batch, within the bound of a frame."""
-    unpacker = zlib.decompressobj()
-    data = unpacker.decompress(frame, MOST_FRAME)
-    if not unpacker.eof:
-        raise WireError("a compressed batch is cut short or too large")
+def _decompress(frame: bytes) -> bytes:
+    """Decompresses a batch, up to the bound on a frame."""
+    decompressor = zlib.decompressobj()
+    data = decompressor.decompress(frame, MAX_FRAME_BYTES)
+    if not decompressor.eof:
+        raise WireError(
+            "compressed batch is truncated or exceeds the frame limit"
+        )
     return data
 
 
 class Links:
-    """All links of a process, by the name of the process at the other end."""
+    """All links of an instance, by the name of the peer."""
 
     def __init__(self, name: str, address: str, put: Callable[[object], None]):
-        """Prepares; ``start`` listens.
+        """Prepares the links; ``start`` listens.
 
         Args:
-            name: this process.
-            address: where others dial it; '' if nobody does.
-            put: takes ``Received``, ``LinkUp`` and ``LinkDown``.
+            name: name of this instance.
+            address: ip:port to listen on; '' to accept no links.
+            put: receives ``Received``, ``LinkUp`` and ``LinkDown`` messages.
         """
         self.name = name
         self.address = address
@@ -185,22 +192,22 @@
         return self._loop.time()
 
     async def start(self) -> None:
-        """Listens, and looks after the links.
+        """Listens, and starts the periodic check of the links.
 
         Raises:
-            OSError: the address can't be listened on.
+            OSError: listening on the address failed.
         """
         if self.address:
             host, _, port = self.address.rpartition(":")
             self._server = await self._loop.create_server(
                 lambda: Link(self), host, int(port), backlog=512
             )
-        self._loop.call_later(KEEP_ALIVE_S / 2, self._look_after)
+        self._loop.call_later(KEEP_ALIVE_S / 2, self._check_links)
 
     def want(self, addresses: set[str]) -> None:
-        """Keeps a link to each address, and dials no other any more.
+        """Sets the addresses to keep links to.
 
-        A link that stands is left alone, wanted or not.
+        Other addresses are no longer dialled, but open links to them stay.
         """
         for address in set(self._wanted) - addresses:
             self._wanted.pop(address).cancel()
@@ -209,30 +216,30 @@
 
     def _dial(self, address: str) -> None:
         if address not in self._wanted:
-            task = self._loop.create_task(self._keep_dialled(address))
+            task = self._loop.create_task(self._maintain_link(address))
             self._wanted[address] = task
 
-    async def _keep_dialled(self, address: str) -> None:
+    async def _maintain_link(self, address: str) -> None:
         host, _, port = address.rpartition(":")
-        pace = DialPace()
+        backoff = DialBackoff()
         while any(link.dialled == address for link in self.open):
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CLOSED_CHECK_S)
         while True:
             try:
-                async with asyncio.timeout(pace.connect_s):
+                async with asyncio.timeout(backoff.connect_s):
                     _, link = await self._loop.create_connection(
                         lambda: Link(self, address), host, int(port)
                     )
             except (OSError, TimeoutError):
-                await asyncio.sleep(pace.wait_s)
-                pace.note_failure()
+                await asyncio.sleep(backoff.wait_s)
+                backoff.note_failure()
                 continue
-            pace = DialPace()
+            backoff = DialBackoff()
             while link in self.open:
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(CLOSED_CHECK_S)
 
-    def received(self, link: Link, name: str, payloads: list) -> None:
-        """Takes in a batch, and the name of a link that had none."""
+    def handle_batch(self, link: Link, name: str, payloads: list) -> None:
+        """Delivers a batch; stores the sender's name from the first one."""
         if not link.name and not name:
             log.event("link_unnamed", level="ERROR")
             link.close()
@@ -249,8 +256,8 @@
         for payload in payloads:
             self._put(Received(link.name, payload, link.address))
 
-    def lost(self, link: Link) -> None:
-        """Forgets a link that is closed."""
+    def handle_closed(self, link: Link) -> None:
+        """Removes a closed link."""
         self.open.discard(link)
         links = self._by_name.get(link.name)
         if not links or link not in links:
@@ -262,13 +269,13 @@
             self._put(LinkDown(link.name))
 
     def send(self, msg: Send) -> None:
-        """Sends to a process by name; without a link the message is lost."""
-        queue = self._outbox.get(msg.to)
-        if queue is None:
+        """Sends to an instance by name; drops the message without a link."""
+        pending = self._outbox.get(msg.to)
+        if pending is None:
             self._outbox[msg.to] = [msg.payload]
             self._loop.call_soon(self._flush, msg.to)
         else:
-            queue.append(msg.payload)
+            pending.append(msg.payload)
         if msg.address and msg.to not in self._by_name:
             self._dial(msg.address)
 
@@ -278,8 +285,8 @@
         if links:
             links[-1].send(payloads)
 
-    def _look_after(self) -> None:
-        """Says that we live, and closes links that went silent."""
+    def _check_links(self) -> None:
+        """Sends keep-alives that are due and closes silent links."""
         now = self.now()
         for link in list(self.open):
             if link.is_silent(now):
@@ -287,4 +294,4 @@
                 link.close()
             elif link.is_due(now):
                 link.send([])
-        self._loop.call_later(KEEP_ALIVE_S / 2, self._look_after)
+        self._loop.call_later(KEEP_ALIVE_S / 2, self._check_links)
--- a/greengagemoor/aio/pool.py
+++ b/greengagemoor/aio/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to searchers, by address, and the way to new ones."""
+"""Pool of keep-alive connections to searchers."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-CONNECT_S = 0.12
-"""Forty round trips between data centres. A machine that lost power answers
-nothing; the sooner that is known, the sooner another searcher is asked, and a
-send that never left costs no second-send token."""
-IDLE_SHARE = 0.8
-"""A connection is used again only this far into the searcher's own timeout."""
+CONNECT_TIMEOUT_S = 0.12
+"""Forty round trips between data centres. A machine that lost power does not
+answer; a short timeout lets the request go to another searcher soon, and a
+request that was not sent costs no retry-budget token."""
+IDLE_TIMEOUT_SHARE = 0.8
+"""Share of the searcher's idle timeout for which a connection is reused."""
 
 
 class Pool:
-    """Idle connections by address, and the way to new ones."""
+    """Idle connections by address; opens new ones when none is idle."""
 
     def __init__(self):
         self._idle: dict[str, list[ClientConnection]] = {}
@@ -39,10 +39,10 @@
         done: Callable[[HttpAnswer | HttpFailure], None],
         is_mine: Callable[[Headers], bool],
     ) -> Sending:
-        """Sends on an idle connection, or on a new one.
+        """Sends a request on an idle connection, or on a new one.
 
         Returns:
-            A handle that can cancel the request; ``done`` isn't called then.
+            A handle to cancel the request; ``done`` is not called then.
         """
         sending = Sending()
         conn = self._take_idle(address)
@@ -56,28 +56,31 @@
         return sending
 
     def probe(self, address: str, done: Callable[[bool], None]) -> None:
-        """Dials an address and closes at once.
+        """Checks whether an address accepts connections.
 
         Args:
             address: ip:port.
-            done: takes whether nothing listens there.
+            done: called with whether the connection was refused, that is,
+                nothing listens there.
         """
-        task = self._loop.create_task(self._dial(address, done))
+        task = self._loop.create_task(self._check_listening(address, done))
         self._probes.add(task)
         task.add_done_callback(self._probes.discard)
 
-    async def _dial(self, address: str, done: Callable[[bool], None]) -> None:
+    async def _check_listening(
+        self, address: str, done: Callable[[bool], None]
+    ) -> None:
         host, _, port = address.rpartition(":")
         self.opened += 1
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 transport, _ = await self._loop.create_connection(
                     asyncio.Protocol, host, int(port)
                 )
         except ConnectionRefusedError:
             done(True)
         except (OSError, TimeoutError):
-            # It may be cut off, or have no room for the connection.
+            # Network partition or full backlog; the searcher may still run.
             done(False)
         else:
             transport.abort()
@@ -94,12 +97,12 @@
         host, _, port = address.rpartition(":")
         self.opened += 1
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, conn = await self._loop.create_connection(
                     lambda: ClientConnection(self, address), host, int(port)
                 )
         except (OSError, TimeoutError) as exc:
-            reason = f"no connection: {type(exc).__name__}"
+            reason = f"connection failed: {type(exc).__name__}"
             done(HttpFailure(sent=False, stale=False, reason=reason))
             return
         sending.conn = conn
@@ -114,24 +117,24 @@
             conn.kill()
         return None
 
-    def put_back(self, conn: ClientConnection, timeout_s: float) -> None:
-        """Keeps a connection for later."""
-        conn.idle_until = self._loop.time() + IDLE_SHARE * timeout_s
+    def release(self, conn: ClientConnection, timeout_s: float) -> None:
+        """Stores a connection as idle, with its searcher's idle timeout."""
+        conn.idle_until = self._loop.time() + IDLE_TIMEOUT_SHARE * timeout_s
         self._idle.setdefault(conn.address, []).append(conn)
 
-    def forget(self, conn: ClientConnection) -> None:
-        """Takes a connection out that is closed."""
+    def discard_connection(self, conn: ClientConnection) -> None:
+        """Removes a closed connection."""
         idle = self._idle.get(conn.address)
         if idle and conn in idle:
             idle.remove(conn)
 
     def close_address(self, address: str) -> None:
-        """Closes the idle connections to a searcher that has ended."""
+        """Closes the idle connections to a searcher that has exited."""
         for conn in self._idle.pop(address, []):
             conn.kill()
 
     def sweep(self) -> None:
-        """Closes connections that were idle for too long."""
+        """Closes connections past their idle timeout."""
         now = self._loop.time()
         for address, idle in list(self._idle.items()):
             for conn in [c for c in idle if c.idle_until <= now]:
@@ -141,14 +144,14 @@
 
 
 class Sending:
-    """A request on its way."""
+    """A request in flight, or waiting for its connection."""
 
     def __init__(self):
         self.conn: ClientConnection | None = None
         self.task: asyncio.Task | None = None
 
     def cancel(self) -> None:
-        """Ends it without a word to whoever asked."""
+        """Cancels the request without calling ``done``."""
         if self.conn is not None:
             self.conn.cancel()
         elif self.task is not None:
--- a/greengagemoor/aio/requests.py
+++ b/greengagemoor/aio/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request, who takes it, and the bounds on connections."""
+"""A caller's request, the handler interface and connection limits."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 if TYPE_CHECKING:
     from greengagemoor.aio.connection import HttpConnection
 
-HEADER_BYTES = 16_384
-BODY_BYTES = 1_048_576
+MAX_HEADER_BYTES = 16_384
+MAX_BODY_BYTES = 1_048_576
 
 
 @attrs.define(eq=False, repr=False)
 class HttpRequest:
-    """A whole request.
+    """A complete request.
 
     Attributes:
-        target: path and query as they were sent.
-        headers: in order, names as they were sent.
-        arrived_at: loop time of its first byte.
-        is_first: whether its connection was opened for it.
+        target: path and query, as received.
+        headers: names and values in the order received, case unchanged.
+        arrived_at: loop time of the first byte, in seconds.
+        is_first: whether it is the first request of its connection.
     """
 
     method: str
@@ -34,7 +34,7 @@
     is_first: bool = True
 
     def header(self, name: bytes) -> str | None:
-        """Returns the first header of a name in lower case, or None."""
+        """Returns the first value of a header, given in lower case, or None."""
         for key, value in self.headers:
             if key.lower() == name:
                 return value.decode("latin-1")
@@ -42,46 +42,46 @@
 
     @property
     def way_s(self) -> float | None:
-        """What its caller's clock spends on the network, None if not known.
+        """Network time as measured by the caller; None if not known.
 
-        A new connection costs a round trip before the request is sent.
+        A new connection costs one round trip before the request is sent.
         """
-        trip = self.conn.round_trip_s
-        if trip is None:
+        round_trip = self.conn.round_trip_s
+        if round_trip is None:
             return None
-        return 2 * trip if self.is_first else trip
+        return 2 * round_trip if self.is_first else round_trip
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The target without the query string."""
         return self.target.partition("?")[0]
 
     @property
     def query(self) -> str:
-        """What follows the question mark, '' if nothing."""
+        """The query string without the question mark; may be empty."""
         return self.target.partition("?")[2]
 
 
 class Handler(Protocol):
-    """What a server does with requests."""
+    """Interface of the application behind a server."""
 
     def take(self, req: HttpRequest) -> None:
-        """Takes a request; ``req.conn.reply`` follows, now or later."""
+        """Handles a request; calls ``req.conn.reply`` now or later."""
 
     def gone(self, req: HttpRequest) -> None:
-        """The caller closed its connection before the reply."""
+        """Handles a caller's disconnect before the reply was sent."""
 
 
 @attrs.define(eq=False, repr=False)
 class Limits:
-    """Bounds on one server's connections; times in seconds.
+    """Limits on the connections of one server.
 
     Attributes:
-        closing: every answer ends its connection, as in a shutdown.
+        closing: whether each reply closes its connection, as in a shutdown.
     """
 
-    header_bytes: int = HEADER_BYTES
-    body_bytes: int = BODY_BYTES
+    header_bytes: int = MAX_HEADER_BYTES
+    body_bytes: int = MAX_BODY_BYTES
     header_timeout_s: float = 5.0
     idle_timeout_s: float = 30.0
     closing: bool = False
--- a/greengagemoor/aio/server.py
+++ b/greengagemoor/aio/server.py
@@ -1,4 +1,4 @@
-"""A listening HTTP/1.1 server: one connection object a caller."""
+"""HTTP/1.1 server for callers."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 class HttpServer:
-    """Listens on one address and makes a connection object for each caller."""
+    """Listens on one address; makes an object per connection."""
 
     def __init__(self, address: str, handler: Handler, limits: Limits):
-        """Prepares; ``start`` listens.
+        """Prepares the server; ``start`` listens.
 
         Args:
-            address: ip and port.
-            handler: takes the requests.
-            limits: shared by all connections; may change while it runs.
+            address: ip:port.
+            handler: receives the requests.
+            limits: shared by all connections; may change at run time.
         """
         self.limits = limits
         self.conns: set[HttpConnection] = set()
@@ -33,13 +33,13 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, sock: socket.socket | None = None) -> None:
-        """Listens.
+        """Starts to accept connections.
 
         Args:
-            sock: listens on the address already; None if nothing does.
+            sock: a listening socket; None to make one for the address.
 
         Raises:
-            OSError: the address can't be listened on.
+            OSError: listening on the address failed.
         """
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -50,11 +50,11 @@
         log.event("listening", address=self._address)
 
     def stop_accepting(self) -> None:
-        """Refuses new connections; open ones go on."""
+        """Stops accepting connections; open ones stay."""
         if self._server is not None:
             self._server.close()
 
     def close_idle(self) -> None:
-        """Closes connections on which nothing is under way."""
+        """Closes the idle connections."""
         for conn in list(self.conns):
             conn.close_if_idle()
--- a/greengagemoor/aio/sockets.py
+++ b/greengagemoor/aio/sockets.py
@@ -1,4 +1,4 @@
-"""Socket options that every connection of ours carries."""
+"""Listening sockets, TCP options and round-trip times."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 import socket
 import struct
 
-UNACKED_MS = 3000
-"""Bytes unacknowledged for this long end a connection: without it, one to a
-machine that lost power hangs for many minutes."""
-PROBE_IDLE_S = 2
-PROBE_INTERVAL_S = 1
-PROBES = 3
-ROUND_TRIP = struct.Struct("68xI")
-"""Where Linux keeps ``tcpi_rtt``, in microseconds, in its ``tcp_info``."""
+USER_TIMEOUT_MS = 3000
+"""TCP closes a connection whose data stays unacknowledged for this long.
+Without it a connection to a machine that lost power hangs for many minutes."""
+KEEPALIVE_IDLE_S = 2
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 3
+TCP_INFO_RTT = struct.Struct("68xI")
+"""Position of ``tcpi_rtt``, in microseconds, in Linux's ``tcp_info``."""
 BACKLOG = 1024
-"""Connections that may wait to be accepted: ten seconds of all that a site of
-100 requests a second gets, should one entry be alone."""
+"""Connections waiting to be accepted: ten seconds of the load of a site with
+100 requests a second, if only one entry runs."""
 
 
 def listen(address: str) -> socket.socket:
-    """Listens at once, also before anything here can accept.
+    """Returns a listening socket, before the process is ready to accept.
 
-    After a kill of everything a caller's connection is refused until some
-    process listens, and callers give up after two refusals. From here on it
-    waits in the system's queue instead, until the process can tell when to
-    come back.
+    After all instances were killed, callers' connections are refused until one
+    listens, and callers give up after two refusals. Once this socket listens,
+    connections wait in the kernel's backlog until the process can answer with
+    a time to retry.
 
     Args:
-        address: ip and port.
+        address: ip:port.
 
     Raises:
-        OSError: the address can't be listened on.
+        OSError: listening on the address failed.
     """
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -45,38 +45,38 @@
     return sock
 
 
-def tune(transport) -> None:
-    """Sets keep-alive probes, a bound on silence and no delay."""
+def set_options(transport) -> None:
+    """Sets TCP keep-alive, the user timeout and no delay."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
     for level, option, value in (
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS),
     ):
-        # An option that this system lacks costs only its own protection.
+        # Options that the platform lacks are skipped.
         with contextlib.suppress(OSError):
             sock.setsockopt(level, option, value)
 
 
 def round_trip_s(transport) -> float | None:
-    """Returns the round trip that the system has seen on a connection.
+    """Returns the kernel's round-trip time of a connection, in seconds.
 
-    None where it doesn't tell.
+    None if the platform does not report it.
     """
     sock = transport.get_extra_info("socket")
     if sock is None:
         return None
     try:
         info = sock.getsockopt(
-            socket.IPPROTO_TCP, socket.TCP_INFO, ROUND_TRIP.size
+            socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_RTT.size
         )
-        (micros,) = ROUND_TRIP.unpack(info)
+        (rtt_us,) = TCP_INFO_RTT.unpack(info)
     except (AttributeError, OSError, struct.error):
-        # Another system; the caller's way is guessed there.
+        # Not Linux; the network time to the caller is estimated then.
         return None
-    return micros / 1e6 if micros else None
+    return rtt_us / 1e6 if rtt_us else None
--- a/tests/test_aio/test_links.py
+++ b/tests/test_aio/test_links.py
@@ -11,7 +11,7 @@
 import pytest
 
 from greengagemoor.aio import links as links_module
-from greengagemoor.aio.dialpace import DialPace
+from greengagemoor.aio.dialpace import DialBackoff
 from greengagemoor.aio.links import Links
 from greengagemoor.control.messages import Received, Send
 from greengagemoor.feed.messages import (
@@ -101,8 +101,10 @@
         async def main():
             server, _, client, two = await pair()
             for link in client.open:
-                link.heard_at -= links_module.DIALLED_SILENT_S + 1
-            client._look_after()
+                link.last_received_at -= (
+                    links_module.DIALLED_SILENCE_TIMEOUT_S + 1
+                )
+            client._check_links()
             await two.get(LinkDown)
 
         run(main())
@@ -125,7 +127,7 @@
     def test_bad_packed_frame_closes(self, body):
         async def main():
             server, one, client, two = await pair()
-            head = struct.pack("!I", len(body) | links_module.PACKED)
+            head = struct.pack("!I", len(body) | links_module.COMPRESSED_FLAG)
             for link in client.open:
                 link._transport.write(head + body)
             await one.get(LinkDown)
@@ -153,7 +155,7 @@
             client.send(Send("one", DocumentNumber(1)))
             first = await one.get(Received)
             before = client.sent_bytes
-            client._look_after()
+            client._check_links()
             for link in client.open:
                 link.send([])
             client.send(Send("one", DocumentNumber(2)))
@@ -248,19 +250,19 @@
         is dropped and sent again after a second. Cause: one dial could take
         0.8 s.
         """
-        pace = DialPace()
+        backoff = DialBackoff()
         at = 0.0
         begun = []
         while at < 2.0:
             begun.append(at)
-            at += pace.connect_s + pace.wait_s
-            pace.note_failure()
+            at += backoff.connect_s + backoff.wait_s
+            backoff.note_failure()
         gaps = [later - earlier for earlier, later in itertools.pairwise(begun)]
         early = [gap for gap, at in zip(gaps, begun, strict=False) if at < 0.5]
         assert max(early) < 0.15
 
     def test_a_machine_that_stays_dark_is_left_alone(self):
-        pace = DialPace()
+        backoff = DialBackoff()
         for _ in range(100):
-            pace.note_failure()
-        assert pace.connect_s + pace.wait_s == 2 * pace.longest_s
+            backoff.note_failure()
+        assert backoff.connect_s + backoff.wait_s == 2 * backoff.longest_s
