--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -172,14 +172,14 @@
     Mutant(
         "recovery: damage is refused",
         "storage/records.py",
-        "            _refuse_if_followed(data, offset)\n",
+        "            _raise_if_followed(data, offset)\n",
         "",
         ("tests/test_storage",),
     ),
     Mutant(
         "recovery: failed sync",
         "storage/store.py",
-        "        if self._broken:\n",
+        "        if self._failure:\n",
         "        if False:\n",
         ("tests/test_storage",),
     ),
--- a/greengagemoor/storage/__init__.py
+++ b/greengagemoor/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The data folder: synced records, snapshots and recovery."""
+"""The data folder: durable records, snapshots and recovery."""
--- a/greengagemoor/storage/folder.py
+++ b/greengagemoor/storage/folder.py
@@ -1,4 +1,4 @@
-"""The data folder: its format, owner, identity and lock."""
+"""The data folder: format, owner, identity and lock."""
 
 from __future__ import annotations
 
@@ -24,11 +24,13 @@
 
 @values.frozen
 class FolderFormat:
-    """What a folder says of itself.
+    """Content of the format file.
 
     Attributes:
-        identity: random, made with the folder: a folder that is new has a
-            new one, whatever instance uses it.
+        format_version: version of the stored records.
+        owner: name of the instance that uses the folder.
+        identity: random, made with the folder, so that an instance with a new
+            folder is a new member.
     """
 
     format_version: int
@@ -37,16 +39,16 @@
 
 
 class DataFolder:
-    """An owned and locked folder; all writes are synced with their folder."""
+    """A locked folder of one instance; writes sync file and directory."""
 
     def __init__(self, path: str | Path, owner: str):
         """Opens or makes the folder and takes its lock.
 
-        ``is_new`` says whether it was made now, with a new identity.
+        ``is_new`` is set if the folder was made now, with a new identity.
 
         Raises:
-            FolderLockedError: another process holds it.
-            FolderMismatchError: another owner or an unknown format.
+            FolderLockedError: another process holds the lock.
+            FolderMismatchError: the owner differs or the format is unknown.
         """
         self.path = Path(path)
         self.path.mkdir(parents=True, exist_ok=True)
@@ -59,9 +61,9 @@
             raise
 
     def _take_lock(self) -> IO[Any]:
-        # Two processes on one folder interleave their records: each would
-        # acknowledge what the other overwrites. The lock ends with the
-        # process, so a killed one leaves none behind.
+        # Two processes on one folder would interleave their records and each
+        # acknowledge what the other overwrites. The kernel releases the lock
+        # when the process exits, also if it is killed.
         lock = (self.path / LOCK_FILE).open("w")
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -83,49 +85,49 @@
         if found.format_version != FORMAT_VERSION:
             raise FolderMismatchError(
                 f"{self.path} has format {found.format_version}, this "
-                f"version reads {FORMAT_VERSION}"
+                f"release reads format {FORMAT_VERSION}"
             )
         if found.owner != owner:
             raise FolderMismatchError(
-                f"{self.path} belongs to {found.owner}, not {owner}"
+                f"{self.path} belongs to {found.owner}, not to {owner}"
             )
         return found
 
     def _make_format(self, file: Path, owner: str) -> FolderFormat:
-        strangers = [p.name for p in self.path.iterdir() if p.name != LOCK_FILE]
-        if strangers:
+        existing = [p.name for p in self.path.iterdir() if p.name != LOCK_FILE]
+        if existing:
             raise FolderMismatchError(
-                f"{self.path} has no {FORMAT_FILE} but holds {strangers[:3]}"
+                f"{self.path} has no {FORMAT_FILE} but contains {existing[:3]}"
             )
-        made = FolderFormat(
+        created = FolderFormat(
             FORMAT_VERSION, owner, os.urandom(IDENTITY_BYTES).hex()
         )
-        self.write_whole(file.name, json.dumps(attrs.asdict(made)).encode())
+        self.write_whole(file.name, json.dumps(attrs.asdict(created)).encode())
         self.is_new = True
-        return made
+        return created
 
     def write_whole(self, name: str, data: bytes) -> None:
-        """Replaces a file so that a crash leaves the old or the new one."""
+        """Replaces a file atomically: a crash leaves the old or the new one."""
         temporary = self.path / f"{name}.new"
         with temporary.open("wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
         temporary.rename(self.path / name)
-        self.sync_names()
+        self.sync_directory()
 
-    def sync_names(self) -> None:
-        """Syncs the folder itself, so that new and removed names last."""
-        handle = os.open(self.path, os.O_RDONLY)
+    def sync_directory(self) -> None:
+        """Syncs the directory, so that new and removed names are durable."""
+        descriptor = os.open(self.path, os.O_RDONLY)
         try:
-            os.fsync(handle)
+            os.fsync(descriptor)
         finally:
-            os.close(handle)
+            os.close(descriptor)
 
     def size(self) -> int:
-        """Returns the bytes of all files."""
+        """Returns the size of all files in bytes."""
         return sum(f.stat().st_size for f in self.path.iterdir())
 
     def close(self) -> None:
-        """Gives the lock back."""
+        """Releases the lock."""
         self._lock.close()
--- a/greengagemoor/storage/records.py
+++ b/greengagemoor/storage/records.py
@@ -1,4 +1,4 @@
-"""Framed records with checksums, and what a damaged file proves.
+"""Framed records with checksums, and detection of damaged files.
 
 A record is: magic (4 bytes), length (4), CRC-32 of the payload (4), payload.
 """
@@ -14,20 +14,21 @@
 MAGIC = b"GGM1"
 _HEADER = struct.Struct(">4sII")
 MAX_RECORD_BYTES = 1 << 30
+"""A header with a greater length counts as damaged."""
 
 
 def frame(payload: bytes) -> bytes:
-    """Returns the bytes of one record."""
+    """Returns the record of a payload."""
     return _HEADER.pack(MAGIC, len(payload), zlib.crc32(payload)) + payload
 
 
 @values.frozen
 class Scan:
-    """What a file holds.
+    """Content of a file of records.
 
     Attributes:
-        payloads: the whole records, in order.
-        good_bytes: length of the file up to the last whole record.
+        payloads: payloads of the intact records, in order.
+        good_bytes: length of the file up to the end of the last intact record.
     """
 
     payloads: tuple[bytes, ...]
@@ -37,11 +38,12 @@
 def scan(data: bytes) -> Scan:
     """Reads all records of a file.
 
-    A crash while writing leaves a torn last record: it was never synced, so
-    it may be dropped. A damaged record with a whole one behind it had been
-    synced: dropping it would forget a vote or an accepted document, and the
-    member would then elect a leader that lacks it. Each sync is followed by a
-    mark record, so damage to any synced record but the very last shows.
+    A crash during a write leaves a torn last record, which was never synced
+    and may be discarded. A damaged record followed by an intact one had been
+    synced: discarding it would lose a vote or an accepted document, and the
+    member could then help to elect a leader that lacks it. A mark record
+    follows each sync, so damage to any synced record but the very last is
+    detected.
 
     Raises:
         CorruptRecordError: a record that had been synced is damaged.
@@ -51,7 +53,7 @@
     while offset < len(data):
         payload = _read_at(data, offset)
         if payload is None:
-            _refuse_if_followed(data, offset)
+            _raise_if_followed(data, offset)
             break
         payloads.append(payload)
         offset += _HEADER.size + len(payload)
@@ -71,11 +73,11 @@
     return payload
 
 
-def _refuse_if_followed(data: bytes, bad: int) -> None:
-    position = data.find(MAGIC, bad + 1)
+def _raise_if_followed(data: bytes, damaged: int) -> None:
+    position = data.find(MAGIC, damaged + 1)
     while position >= 0:
         if _read_at(data, position) is not None:
             raise CorruptRecordError(
-                f"damaged record at byte {bad}, with whole ones behind it"
+                f"damaged record at byte {damaged}, followed by an intact one"
             )
         position = data.find(MAGIC, position + 1)
--- a/greengagemoor/storage/store.py
+++ b/greengagemoor/storage/store.py
@@ -1,4 +1,4 @@
-"""Durable state of a control member: one snapshot and one journal."""
+"""Durable state of a control member: a snapshot and a journal."""
 
 from __future__ import annotations
 
@@ -31,32 +31,31 @@
 
 
 class Store:
-    """Writes ``Persist`` operations and reads them back after a start.
+    """Writes ``Persist`` operations and recovers them after a restart.
 
-    Journal and snapshot of one generation carry the same number. A new
-    generation is complete before the old one is removed, so a crash at any
-    step leaves one whole generation.
+    The journal and the snapshot of a generation have the same number in their
+    names. A new generation is complete before the old one is removed, so a
+    crash at any step leaves one complete generation.
     """
 
     def __init__(self, folder: DataFolder):
         self._folder = folder
-        self._broken = ""
+        self._failure = ""
         self._journal: BinaryIO | None = None
         self._generation = 0
 
     def recover(self) -> Recovered:
-        """Reads what is durable and opens the journal for appending.
+        """Reads the durable state and opens the journal for appending.
 
         Raises:
-            CorruptRecordError: something that had been synced is damaged or
-                missing. The member must come back under a new identity, from
-                an empty folder.
+            CorruptRecordError: synced data is damaged or missing. The member
+                must restart with an empty folder, under a new identity.
         """
         generations = self._generations()
         if not generations:
             if self._was_used():
                 raise CorruptRecordError(
-                    "the folder has lost its journal; empty it, so that the "
+                    "the journal is missing; empty the folder, so that the "
                     "instance joins again under a new identity"
                 )
             self._start_generation(1, [])
@@ -89,23 +88,23 @@
         path = self._snapshot_path(self._generation)
         if not path.exists():
             if self._generation > 1:
-                raise CorruptRecordError(f"{path.name} is missing")
+                raise CorruptRecordError(f"snapshot {path.name} is missing")
             return None
         found = records.scan(path.read_bytes())
         if not found.payloads:
-            raise CorruptRecordError(f"{path.name} is truncated")
+            raise CorruptRecordError(f"snapshot {path.name} is truncated")
         return _decode(found.payloads[0][1:], Snapshot)
 
     def _read_journal(self) -> records.Scan:
         path = self._journal_path(self._generation)
         found = records.scan(path.read_bytes())
         if not found.payloads:
-            # The first record is synced before the file gets its name.
-            raise CorruptRecordError(f"{path.name} has lost its beginning")
+            # The first record is synced before the file is renamed into place.
+            raise CorruptRecordError(f"{path.name} has no intact first record")
         return found
 
     def _open_journal(self, good_bytes: int) -> None:
-        """Cuts a torn tail off and appends behind it."""
+        """Opens the journal for appending and truncates a torn tail."""
         path = self._journal_path(self._generation)
         self._journal = path.open("r+b")
         self._journal.truncate(good_bytes)
@@ -125,12 +124,12 @@
         """Writes operations in order and syncs once for all of them.
 
         Raises:
-            SyncFailedError: nothing of these is durable, and this store takes
-                no further writes: after a failed sync the kernel may drop the
-                data and report the next sync as good.
+            SyncFailedError: none of these operations counts as durable, and
+                the store rejects further writes: after a failed sync the
+                kernel may drop the data and report the next sync as successful.
         """
-        if self._broken:
-            raise SyncFailedError(self._broken)
+        if self._failure:
+            raise SyncFailedError(self._failure)
         try:
             for operation in operations:
                 self._write_one(operation)
@@ -138,18 +137,20 @@
             self._journal.write(records.frame(MARK))
             self._journal.flush()
         except OSError as exc:
-            self._broken = f"write or sync failed: {exc.strerror or exc}"
-            raise SyncFailedError(self._broken) from exc
+            self._failure = f"write or sync failed: {exc.strerror or exc}"
+            raise SyncFailedError(self._failure) from exc
 
     def _write_one(self, operation: Persist) -> None:
         if operation.snapshot is not None:
             self._write_snapshot(operation)
             return
-        parts = _records_of(operation)
-        self._journal.write(b"".join(records.frame(part) for part in parts))
+        payloads = _records_of(operation)
+        self._journal.write(
+            b"".join(records.frame(payload) for payload in payloads)
+        )
 
     def _write_snapshot(self, operation: Persist) -> None:
-        """Writes a whole new generation, then drops the old one."""
+        """Writes a new generation, then removes the old one."""
         generation = self._generation + 1
         payload = SNAPSHOT + codec.encode(operation.snapshot)
         path = self._snapshot_path(generation)
@@ -159,10 +160,10 @@
         old.close()
         self._remove_older()
 
-    def _start_generation(self, generation: int, parts: list[bytes]) -> None:
-        """Makes a journal; its name appears once its content is synced."""
+    def _start_generation(self, generation: int, payloads: list[bytes]) -> None:
+        """Makes a journal; the file is renamed into place once it is synced."""
         path = self._journal_path(generation)
-        framed = [records.frame(part) for part in [MARK, *parts, MARK]]
+        framed = [records.frame(payload) for payload in [MARK, *payloads, MARK]]
         self._folder.write_whole(path.name, b"".join(framed))
         self._generation = generation
         self._journal = path.open("r+b")
@@ -173,7 +174,7 @@
         os.fsync(self._journal.fileno())
 
     def close(self) -> None:
-        """Closes the journal and gives the folder back."""
+        """Closes the journal and releases the folder."""
         if self._journal is not None:
             self._journal.close()
         self._folder.close()
@@ -187,9 +188,10 @@
 def _replay(
     payloads: Iterable[bytes], snapshot: Snapshot | None
 ) -> tuple[HardState | None, tuple[LogEntry, ...]]:
-    """Returns the last hard state and the log that the records leave.
+    """Returns the last hard state and the log entries of a journal.
 
-    An entry at or below the last index replaces it and all behind it.
+    An entry whose index is already there replaces that entry and all later
+    ones.
     """
     hard = None
     entries: list[LogEntry] = []
