--- a/greengagemoor/wire/__init__.py
+++ b/greengagemoor/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between our own processes and their codec."""
+"""Messages between instances, and their codec."""
--- a/greengagemoor/wire/codec.py
+++ b/greengagemoor/wire/codec.py
@@ -1,4 +1,4 @@
-"""Converts attrs messages to protobuf and back, by equal names."""
+"""Converts attrs classes to protobuf messages of the same name and back."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
     from google.protobuf.message import Message
 
-# Modules with the classes, imported when a message of theirs is met first: a
-# process that speaks only a part of them starts sooner and stays smaller.
-_SOURCES = (
+# Modules of the message classes, imported on first use: a process that uses
+# only some of the messages starts sooner and needs less memory.
+_MESSAGE_MODULES = (
     "greengagemoor.control.messages",
     "greengagemoor.control.commands",
     "greengagemoor.feed.messages",
@@ -34,8 +34,8 @@
 )
 
 
-# Messages that one process sends to many others unchanged.
-_SHARED = frozenset(
+# Messages that one instance sends unchanged to many others.
+_BROADCAST = frozenset(
     {
         "SearcherRows",
         "SlowSearchers",
@@ -45,22 +45,22 @@
         "Evacuations",
     }
 )
-SHARED_KEPT = 16
-"""Encoded messages kept: what goes out within one tick, and the next."""
-# Parts that arrive alike from several processes.
-_REPEATED = frozenset({"SearcherRow"})
-REPEATED_KEPT = 2048
-"""Built parts kept, some 400 bytes each: searchers of a few hundred shards."""
+BROADCAST_CACHE_SIZE = 16
+"""Encoded messages in the cache: those sent within two ticks."""
+# Parts of messages that arrive unchanged from several instances.
+_CACHED_PARTS = frozenset({"SearcherRow"})
+PART_CACHE_SIZE = 2048
+"""Parts in the cache, some 400 bytes each: searchers of some hundred shards."""
 
 
-def _snake(name: str) -> str:
+def _snake_case(name: str) -> str:
     parts = [f"_{c.lower()}" if c.isupper() else c for c in name]
     return "".join(parts).lstrip("_")
 
 
 @cache
-def _class_named(name: str) -> type:
-    modules = (importlib.import_module(source) for source in _SOURCES)
+def _find_class(name: str) -> type:
+    modules = (importlib.import_module(source) for source in _MESSAGE_MODULES)
     return next(
         found
         for module in modules
@@ -69,8 +69,8 @@
 
 
 @cache
-def _choices(message_name: str) -> dict[str, str]:
-    """Returns class names by field, of a message of alternatives."""
+def _oneof_types(message_name: str) -> dict[str, str]:
+    """Returns the type names by field of a message's ``body`` oneof."""
     message = pb.DESCRIPTOR.message_types_by_name[message_name]
     fields = message.oneofs_by_name["body"].fields
     return {field.name: field.message_type.name for field in fields}
@@ -83,13 +83,13 @@
     Attributes:
         item: attrs class or enum of the value or its items, None for a
             plain value.
-        many: whether it is a tuple.
-        command: whether it is a log command, in a message of alternatives.
+        many: whether the value is a tuple.
+        command: whether the value is a log command, sent as a oneof.
     """
 
     name: str
     item: type | None
-    many: bool
+    repeated: bool
     command: bool
 
 
@@ -102,14 +102,14 @@
 
 
 def _describe(name: str, hint: Any) -> _Field:
-    many = typing.get_origin(hint) is tuple
-    item = typing.get_args(hint)[0] if many else hint
+    repeated = typing.get_origin(hint) is tuple
+    item = typing.get_args(hint)[0] if repeated else hint
     if isinstance(item, types.UnionType):
-        return _Field(name, None, many, command=True)
+        return _Field(name, None, repeated, command=True)
     structured = isinstance(item, type) and (
         attrs.has(item) or issubclass(item, enum.Enum)
     )
-    return _Field(name, item if structured else None, many, command=False)
+    return _Field(name, item if structured else None, repeated, command=False)
 
 
 def to_message(value: Any) -> Message:
@@ -124,9 +124,9 @@
         part = getattr(value, field.name)
         if field.command:
             if part is not None:
-                _fill_choice(getattr(message, field.name), part)
-        elif field.many:
-            _fill_many(getattr(message, field.name), field, part)
+                _fill_oneof(getattr(message, field.name), part)
+        elif field.repeated:
+            _fill_repeated(getattr(message, field.name), field, part)
         elif field.item is None:
             setattr(message, field.name, part)
         elif isinstance(part, enum.Enum):
@@ -137,7 +137,7 @@
             _fill(target, part)
 
 
-def _fill_many(target: Any, field: _Field, parts: Iterable[Any]) -> None:
+def _fill_repeated(target: Any, field: _Field, parts: Iterable[Any]) -> None:
     if field.item is None:
         target.extend(parts)
         return
@@ -145,8 +145,8 @@
         _fill(target.add(), part)
 
 
-def _fill_choice(message: Message, value: Any) -> None:
-    target = getattr(message, _snake(type(value).__name__))
+def _fill_oneof(message: Message, value: Any) -> None:
+    target = getattr(message, _snake_case(type(value).__name__))
     target.SetInParent()
     _fill(target, value)
 
@@ -155,7 +155,7 @@
     """Returns the attrs instance of a protobuf message.
 
     Raises:
-        WireError: a value is not what the class allows.
+        WireError: the class rejects a value.
     """
     try:
         return _build(message, cls)
@@ -170,13 +170,13 @@
 def _read(message: Message, field: _Field) -> Any:
     part = getattr(message, field.name)
     if field.command:
-        return _read_choice(part, _choices("Command"))
-    if field.many:
+        return _read_oneof(part, _oneof_types("Command"))
+    if field.repeated:
         if field.item is None:
             return tuple(part)
-        if field.item.__name__ in _REPEATED:
+        if field.item.__name__ in _CACHED_PARTS:
             return tuple(
-                _build_once(item.SerializeToString(), field.item)
+                _build_cached(item.SerializeToString(), field.item)
                 for item in part
             )
         return tuple(_build(item, field.item) for item in part)
@@ -187,45 +187,46 @@
     return _build(part, field.item)
 
 
-@lru_cache(maxsize=REPEATED_KEPT)
-def _build_once(data: bytes, cls: type) -> Any:
-    """Builds what several processes tell alike only once.
+@lru_cache(maxsize=PART_CACHE_SIZE)
+def _build_cached(data: bytes, cls: type) -> Any:
+    """Builds a part that several instances send, only once.
 
-    A starting entry is told the same rows by each control instance. With nine
-    of them and 320 rows that was 33 ms of processor time beside load, while
-    callers wait for the first entries after a loss of power; it is 8 ms.
+    A starting entry receives the same rows from each control instance, while
+    callers wait for the first entries after a power loss. With nine control
+    instances and 320 rows that took 33 ms of processor time under load without
+    the cache; it takes 8 ms.
     """
     return _build(getattr(pb, cls.__name__).FromString(data), cls)
 
 
-def _read_choice(message: Message, choices: dict[str, str]) -> Any:
+def _read_oneof(message: Message, types_by_field: dict[str, str]) -> Any:
     name = message.WhichOneof("body")
     if name is None:
         return None
-    return _build(getattr(message, name), _class_named(choices[name]))
+    return _build(getattr(message, name), _find_class(types_by_field[name]))
 
 
 def to_batch(sender: str, address: str, payloads: Iterable[Any]) -> pb.Batch:
-    """Returns the batch that carries payloads to another process."""
+    """Returns the batch that carries payloads to another instance."""
     batch = pb.Batch(sender=sender, address=address)
     for payload in payloads:
         envelope = batch.envelopes.add()
-        if type(payload).__name__ in _SHARED:
-            envelope.MergeFromString(_encode_shared(payload))
+        if type(payload).__name__ in _BROADCAST:
+            envelope.MergeFromString(_encode_cached(payload))
         else:
-            _fill_choice(envelope, payload)
+            _fill_oneof(envelope, payload)
     return batch
 
 
-@lru_cache(maxsize=SHARED_KEPT)
-def _encode_shared(payload: Any) -> bytes:
-    """Encodes what many get at the same time once.
+@lru_cache(maxsize=BROADCAST_CACHE_SIZE)
+def _encode_cached(payload: Any) -> bytes:
+    """Encodes a message that is sent to many instances, only once.
 
-    After a kill of everything all entries ask a control instance for its rows
-    together.
+    After a restart of all instances the entries request the rows of a control
+    instance at the same time.
     """
     envelope = pb.Envelope()
-    _fill_choice(envelope, payload)
+    _fill_oneof(envelope, payload)
     return envelope.SerializeToString()
 
 
@@ -233,30 +234,31 @@
     """Returns the payloads of a batch.
 
     Raises:
-        WireError: the batch holds something that this version doesn't know.
+        WireError: the batch holds a message that this release lacks.
     """
-    choices = _choices("Envelope")
+    types_by_field = _oneof_types("Envelope")
     try:
         payloads = [
-            _read_choice(envelope, choices) for envelope in batch.envelopes
+            _read_oneof(envelope, types_by_field)
+            for envelope in batch.envelopes
         ]
     except (ValueError, TypeError) as exc:
         raise WireError(str(exc)) from exc
     if any(payload is None for payload in payloads):
-        raise WireError("a message of an unknown kind")
+        raise WireError("message of an unknown type")
     return payloads
 
 
 def encode(value: Any) -> bytes:
-    """Returns the bytes of an attrs instance."""
+    """Returns the encoded form of an attrs instance."""
     return to_message(value).SerializeToString()
 
 
 def decode(data: bytes, cls: type) -> Any:
-    """Returns the attrs instance of bytes.
+    """Returns the attrs instance of an encoded message.
 
     Raises:
-        WireError: the bytes are not such a message.
+        WireError: the bytes are not a message of this class.
     """
     try:
         message = getattr(pb, cls.__name__).FromString(data)
