--- a/greengagemoor/util/__init__.py
+++ b/greengagemoor/util/__init__.py
@@ -1,1 +1,1 @@
-"""Small topical helpers."""
+"""General helpers without knowledge of instances or messages."""
--- a/greengagemoor/util/checks.py
+++ b/greengagemoor/util/checks.py
@@ -17,13 +17,13 @@
 
 
 def is_name(_: Any, attribute: attrs.Attribute, value: str) -> None:
-    """Refuses what is not 1 to 64 letters, digits, dots, dashes."""
+    """Rejects all but 1 to 64 letters, digits, dots, dashes, underscores."""
     if not NAME_PATTERN.fullmatch(value):
         raise ValueError(f"{attribute.name}: {value[:80]!r} is not a name")
 
 
 def is_address(_: Any, attribute: attrs.Attribute, value: str) -> None:
-    """Refuses what is not IP:PORT; names are not looked up."""
+    """Rejects all but IP:PORT; host names are not resolved."""
     if not is_ip_port(value):
         raise ValueError(f"{attribute.name}: {value[:80]!r} is not IP:PORT")
 
@@ -40,7 +40,7 @@
 
 
 def in_range(low: float, high: float) -> Callable[..., None]:
-    """Returns a validator that refuses numbers outside [low, high]."""
+    """Returns a validator that rejects numbers outside [low, high]."""
 
     def check(_: Any, attribute: attrs.Attribute, value: float) -> None:
         if value is not None and not low <= value <= high:
@@ -52,7 +52,7 @@
 
 
 def one_of(*choices: str) -> Callable[..., None]:
-    """Returns a validator that refuses all but the given words."""
+    """Returns a validator that rejects all but the given values."""
 
     def check(_: Any, attribute: attrs.Attribute, value: str) -> None:
         if value not in choices:
@@ -64,19 +64,21 @@
 
 
 def unique_by(key: Callable[[Any], Any]) -> Callable[..., None]:
-    """Returns a validator that refuses lists in which a key stands twice."""
+    """Returns a validator that rejects sequences with duplicate keys."""
 
     def check(_: Any, attribute: attrs.Attribute, value: tuple) -> None:
         counts = Counter(map(key, value))
-        twice = sorted(str(item) for item, n in counts.items() if n > 1)
-        if twice:
-            raise ValueError(f"{attribute.name}: {', '.join(twice)} twice")
+        duplicates = sorted(str(item) for item, n in counts.items() if n > 1)
+        if duplicates:
+            raise ValueError(
+                f"{attribute.name}: {', '.join(duplicates)} given twice"
+            )
 
     return check
 
 
 def at_most(limit: int) -> Callable[..., None]:
-    """Returns a validator that refuses longer sequences or strings."""
+    """Returns a validator that rejects longer sequences or strings."""
 
     def check(_: Any, attribute: attrs.Attribute, value: Any) -> None:
         if len(value) > limit:
--- a/greengagemoor/util/linebudget.py
+++ b/greengagemoor/util/linebudget.py
@@ -1,4 +1,4 @@
-"""How many log lines of one sort may be written."""
+"""Rate limit for log lines of one kind."""
 
 from __future__ import annotations
 
@@ -7,28 +7,29 @@
 
 @attrs.define(eq=False, repr=False)
 class LineBudget:
-    """A token bucket for lines; what is over it is dropped and counted.
+    """A token bucket; lines beyond it are dropped and counted.
 
     Attributes:
-        per_s: lines a second in the long run.
-        burst: lines at once.
+        per_s: sustained rate, in lines per second.
+        burst: lines that may be written at once.
+        dropped: lines dropped since ``take_dropped`` was called.
     """
 
     per_s: float
     burst: float
     dropped: int = 0
     _tokens: float = attrs.field(init=False)
-    _at: float = attrs.field(init=False, default=0.0)
+    _updated_at: float = attrs.field(init=False, default=0.0)
 
     @_tokens.default
-    def _full(self) -> float:
+    def _initial_tokens(self) -> float:
         return self.burst
 
     def take(self, now: float) -> bool:
-        """Takes a line's token, or counts the line as dropped."""
-        gained = (now - self._at) * self.per_s
+        """Takes a token and returns True, or counts a dropped line."""
+        gained = (now - self._updated_at) * self.per_s
         self._tokens = min(self.burst, self._tokens + max(0.0, gained))
-        self._at = now
+        self._updated_at = now
         if self._tokens < 1.0:
             self.dropped += 1
             return False
@@ -36,6 +37,6 @@
         return True
 
     def take_dropped(self) -> int:
-        """Returns how many lines were dropped since the last call."""
+        """Returns the number of lines dropped since the last call."""
         dropped, self.dropped = self.dropped, 0
         return dropped
--- a/greengagemoor/util/linewriter.py
+++ b/greengagemoor/util/linewriter.py
@@ -1,4 +1,4 @@
-"""Writes lines to a descriptor without blocking, and counts what it drops."""
+"""Writes log lines to a file descriptor without blocking."""
 
 from __future__ import annotations
 
@@ -7,32 +7,35 @@
 import time
 from collections import deque
 
-MOST_WAITING = 2000
-"""Lines kept for a reader that has stopped; some 400 KB."""
-CHUNK = 4096
-"""A pipe that polls as writable takes this much without blocking."""
+MAX_QUEUED_LINES = 2000
+"""Lines queued while the reader does not read; some 400 KB."""
+CHUNK_BYTES = 4096
+"""Bytes that a pipe accepts without blocking if it polls as writable."""
 
 
 class LineWriter:
-    """Holds lines until ``flush`` can hand them over.
+    """Queues lines until ``flush`` can write them; drops lines beyond a bound.
 
-    A reader that stops reading would otherwise stop the process at its next
-    line: every request on it would hang while nothing is wrong with it.
+    Otherwise a reader that stops reading would block the process at its next
+    line, and all its requests with it.
+
+    Attributes:
+        dropped: lines dropped so far.
     """
 
     def __init__(self, descriptor: int, instance: str):
         self.dropped = 0
-        self._told = 0
+        self._reported = 0
         self._descriptor = descriptor
         self._instance = instance
         self._lines: deque[bytes] = deque()
-        self._rest = b""
+        self._unwritten = b""
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
 
     def write(self, level: str, text: str) -> None:
-        """Adds a line, or counts it as dropped when too many wait."""
-        if len(self._lines) >= MOST_WAITING:
+        """Queues a line, or drops it if the queue is full."""
+        if len(self._lines) >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
         at = time.time()
@@ -40,18 +43,21 @@
         self._lines.append(line.encode())
 
     def flush(self) -> None:
-        """Writes what the descriptor takes now."""
-        if self.dropped > self._told and len(self._lines) < MOST_WAITING:
-            number = self.dropped - self._told
-            self._told = self.dropped
+        """Writes as much as the descriptor accepts without blocking."""
+        if (
+            self.dropped > self._reported
+            and len(self._lines) < MAX_QUEUED_LINES
+        ):
+            number = self.dropped - self._reported
+            self._reported = self.dropped
             self.write("WARNING", f"event=log_lines_dropped number={number}")
-        while self._rest or self._lines:
-            while self._lines and len(self._rest) < CHUNK:
-                self._rest += self._lines.popleft()
+        while self._unwritten or self._lines:
+            while self._lines and len(self._unwritten) < CHUNK_BYTES:
+                self._unwritten += self._lines.popleft()
             if not self._is_writable():
                 return
-            written = os.write(self._descriptor, self._rest[:CHUNK])
-            self._rest = self._rest[written:]
+            written = os.write(self._descriptor, self._unwritten[:CHUNK_BYTES])
+            self._unwritten = self._unwritten[written:]
 
     def _is_writable(self) -> bool:
         return any(event & select.POLLOUT for _, event in self._poll.poll(0))
--- a/greengagemoor/util/request_ids.py
+++ b/greengagemoor/util/request_ids.py
@@ -1,4 +1,4 @@
-"""Request ids that carry the time at which the caller made them."""
+"""Request ids that contain the time at which the caller issued them."""
 
 from __future__ import annotations
 
@@ -7,12 +7,14 @@
 
 
 def issue_time(request_id: str) -> float | None:
-    """Returns the unix seconds that a request id carries.
+    """Returns the time in a request id, in Unix seconds.
 
-    The form is ``<unix milliseconds>-<anything unique>``; None if it differs.
+    The form is ``<Unix milliseconds>-<unique text>``; None for other ids.
     """
-    head, dash, rest = request_id.partition("-")
-    plain = head.isascii() and head.isdigit() and len(head) <= MAX_TIME_DIGITS
-    if not dash or not rest or not plain or len(request_id) > MAX_ID_CHARS:
+    digits, dash, rest = request_id.partition("-")
+    is_valid = (
+        digits.isascii() and digits.isdigit() and len(digits) <= MAX_TIME_DIGITS
+    )
+    if not dash or not rest or not is_valid or len(request_id) > MAX_ID_CHARS:
         return None
-    return int(head) / 1000
+    return int(digits) / 1000
--- a/greengagemoor/util/shape.py
+++ b/greengagemoor/util/shape.py
@@ -1,4 +1,4 @@
-"""Strict conversion between JSON and attrs classes, with a path per fault."""
+"""Strict conversion between JSON and attrs classes; faults name their path."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 if TYPE_CHECKING:
     import cattrs
 
-# cattrs is imported where it is used: processes that read no JSON of ours
-# start 0.1 s sooner without it.
+# cattrs is imported on first use: processes that convert no JSON start 0.1 s
+# sooner without it.
 T = TypeVar("T")
 
 
@@ -44,7 +44,7 @@
     conv.register_structure_hook(float, _strict(float, int, float))
     conv.register_structure_hook(str, _strict(str, str))
     conv.register_structure_hook(bool, _strict(bool, bool))
-    # An IntEnum is an int too; without its own hook it would come back as one.
+    # Without a hook of its own an IntEnum would be converted to a plain int.
     conv.register_structure_hook(enum.IntEnum, _structure_enum)
     conv.register_structure_hook_func(
         lambda cls: isinstance(cls, type) and issubclass(cls, enum.Enum),
@@ -77,7 +77,7 @@
         cls: the attrs class to build.
 
     Raises:
-        InvalidInputError: with every fault and its path, ``... @ $.a[0].b``.
+        InvalidInputError: lists each fault with its path, ``... @ $.a[0].b``.
     """
     import cattrs
 
@@ -100,7 +100,7 @@
 
 
 def to_json(value: Any) -> Any:
-    """Returns the JSON form of an attrs instance, enums by value."""
+    """Returns the JSON form of an attrs instance; enums become their value."""
     return _converter().unstructure(value)
 
 
--- a/greengagemoor/util/values.py
+++ b/greengagemoor/util/values.py
@@ -1,4 +1,4 @@
-"""Frozen attrs classes that a process makes quickly at its start."""
+"""Frozen attrs classes that are fast to define."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
 
 @dataclass_transform(frozen_default=True, field_specifiers=(attrs.field,))
 def frozen(cls: type) -> type:
-    """Makes a class like ``attrs.frozen``, with shared methods to compare.
+    """Makes a class like ``attrs.frozen`` that shares its special methods.
 
-    attrs compiles methods of its own for each class. After a loss of power
-    callers wait while each process does so for a hundred classes; with one
-    shared method each, a class takes 0.65 ms in place of 1.44 (200 classes of
-    five fields, processor time beside load).
+    attrs compiles ``__eq__``, ``__hash__`` and ``__repr__`` for each class.
+    After a power loss callers wait while each process does so for a hundred
+    classes. With shared methods a class takes 0.65 ms instead of 1.44 ms (200
+    classes of five fields, processor time under load).
     """
-    cls.__eq__ = _equals
+    cls.__eq__ = _eq
     cls.__hash__ = _hash
-    cls.__repr__ = _show
+    cls.__repr__ = _repr
     return attrs.frozen(cls, eq=False, repr=False)
 
 
 @cache
 def _fields(cls: type) -> Callable[[Any], Any]:
-    """Returns what reads all fields that count in comparisons."""
+    """Returns a getter of the values that take part in comparisons."""
     names = [field.name for field in attrs.fields(cls) if field.eq]
     return attrgetter(*names) if names else lambda _: ()
 
 
-def _equals(self: Any, other: Any) -> bool:
+def _eq(self: Any, other: Any) -> bool:
     if type(self) is not type(other):
         return NotImplemented
-    read = _fields(type(self))
-    return read(self) == read(other)
+    get_values = _fields(type(self))
+    return get_values(self) == get_values(other)
 
 
 def _hash(self: Any) -> int:
     return hash((type(self), _fields(type(self))(self)))
 
 
-def _show(self: Any) -> str:
+def _repr(self: Any) -> str:
     fields = (
         f"{field.name}={getattr(self, field.name)!r}"
         for field in attrs.fields(type(self))
--- a/tests/test_util/test_fingerprints.py
+++ b/tests/test_util/test_fingerprints.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from greengagemoor.util.fingerprints import BYTES, fingerprint
+from greengagemoor.util.fingerprints import FINGERPRINT_BYTES, fingerprint
 
 REQUEST = (b"account", b"GET", b"host", b"/path?q=1", b"body")
 
@@ -17,7 +17,7 @@
         """It is compared between processes and over restarts."""
         shown = fingerprint(*REQUEST).hex()
         assert shown == "c4e01c2453682e0c05907f19bf2a5763"
-        assert len(fingerprint(*REQUEST)) == BYTES
+        assert len(fingerprint(*REQUEST)) == FINGERPRINT_BYTES
 
     def test_each_part_counts(self):
         others = {
--- a/tests/test_util/test_lines.py
+++ b/tests/test_util/test_lines.py
@@ -7,7 +7,7 @@
 import pytest
 
 from greengagemoor.util.linebudget import LineBudget
-from greengagemoor.util.linewriter import MOST_WAITING, LineWriter
+from greengagemoor.util.linewriter import MAX_QUEUED_LINES, LineWriter
 
 
 @pytest.fixture
@@ -40,7 +40,7 @@
     def test_writes_go_on_and_losses_are_told(self, pipe):
         reader, descriptor = pipe
         lines = LineWriter(descriptor, "e1")
-        number = 3 * MOST_WAITING
+        number = 3 * MAX_QUEUED_LINES
         for _ in range(number):
             lines.write("INFO", "event=x text=" + 100 * "y")
             lines.flush()
