--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings that make every run of the tests the same."""
+"""Hypothesis settings that make all test runs deterministic."""
 
 from __future__ import annotations
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces: clock, network, disks and searchers."""
+"""Fakes of the clock, the network, disks and searchers."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     state: ServerState = ServerState.READY,
     **fields,
 ) -> BackendServer:
-    """Returns an announcement of one searcher of service ``s``."""
+    """Returns the announcement of a searcher of service ``s``."""
     defaults = {
         "incarnation": 1,
         "sequence": 1,
@@ -63,7 +63,7 @@
 
 
 def answer_to(msg: q.StartAttempt, **changes) -> q.AttemptAnswer:
-    """Returns a searcher's true answer to an attempt."""
+    """Returns a searcher's correct answer to an attempt."""
     fields = {
         "attempt_id": msg.attempt_id,
         "request_id": msg.request_id,
@@ -77,20 +77,20 @@
 
 
 def of_kind(out: list, kind: type) -> list:
-    """Returns the messages of one kind."""
+    """Returns the messages of a class."""
     return [msg for msg in out if isinstance(msg, kind)]
 
 
 @attrs.define
 class FakeDisk:
-    """What a disk holds; what is not synced is lost in a crash."""
+    """Content of a disk; data that is not synced is lost in a crash."""
 
     identity: str
     founders: dict[str, str] | None = None
     synced: list[Persist] = attrs.field(factory=list)
 
     def recovered(self) -> Recovered:
-        """Returns what a start would read."""
+        """Returns what an instance reads at its start."""
         hard, snapshot, entries = None, None, []
         for operation in self.synced:
             hard = operation.hard or hard
@@ -104,18 +104,28 @@
 
 
 class FakeFleet:
-    """Nodes under one fake clock, with a network that can be cut.
-
-    Events run in order of time; equal times in order of making. Nothing here
-    decides anything: it only carries messages.
+    """Instances with a fake clock and a network that can be partitioned.
+
+    Events run in order of time, those of the same time in order of creation.
+    The fleet only delivers messages; all decisions are the instances' own.
+
+    Attributes:
+        cut: pairs of sender and receiver between which messages are dropped.
+        drop_share: share of messages that are dropped.
+        double_share: share of messages that are delivered twice.
+        loses: predicate of messages to drop, or None.
+        founds_once: whether only the first start of an instance takes the
+            founders from its settings.
+        jitter: bound on the random extra delay of a message, in seconds.
+        out: all output messages as (time, instance, message).
     """
 
     def __init__(self, seed: int = 1, pace: float = 1.0):
-        """Starts empty.
+        """Makes a fleet without instances.
 
         Args:
-            seed: of drops.
-            pace: factor on all intervals; above 1 for hours of fake time.
+            seed: seed of dropped, doubled and delayed messages.
+            pace: factor on all intervals; above 1 for tests over hours.
         """
         self.pace = pace
         self.now = 0.0
@@ -135,25 +145,25 @@
         self.sent: Counter = Counter()
         self._events: list[tuple[float, int, str, int, object]] = []
         self._ids = count()
-        self._lives: dict[str, int] = {}
-        self._wakes: dict[str, float] = {}
+        self._generations: dict[str, int] = {}
+        self._wake_times: dict[str, float] = {}
         self._configs: dict[str, dict] = {}
         self._identities = count(1)
 
     def add(
         self, name: str, roles: tuple[str, ...], group=(), dc: str = "dc1"
     ) -> None:
-        """Starts a node; control nodes keep their disk over restarts."""
+        """Adds and starts an instance; control instances keep their disk."""
         self._configs[name] = {"roles": roles, "group": group, "dc": dc}
         self.start(name)
 
     def start(self, name: str) -> None:
-        """Starts or restarts a node."""
+        """Starts or restarts an instance."""
         cfg = self._configs[name]
-        self._lives[name] = self._lives.get(name, 0) + 1
-        self._wakes.pop(name, None)
+        self._generations[name] = self._generations.get(name, 0) + 1
+        self._wake_times.pop(name, None)
         group = {n: f"{n}:1" for n in cfg["group"]}
-        me = InstanceRow(
+        own_row = InstanceRow(
             name=name,
             incarnation=int(self.now * 1000) + 1,
             sequence=0,
@@ -164,14 +174,14 @@
             region="r1",
             roles=cfg["roles"],
         )
-        rng = random.Random(f"{name}{self._lives[name]}")
+        rng = random.Random(f"{name}{self._generations[name]}")
         control = None
         if "control" in cfg["roles"]:
             others = {n: a for n, a in group.items() if n != name}
-            told = name in group
-            if self.founds_once and self._lives[name] > 1:
-                told = False
-            founders = others if told else None
+            has_founders = name in group
+            if self.founds_once and self._generations[name] > 1:
+                has_founders = False
+            founders = others if has_founders else None
             disk = self.disks.setdefault(
                 name, FakeDisk(f"d{next(self._identities)}", founders)
             )
@@ -181,12 +191,12 @@
                 others,
                 rng,
                 ControlTiming(0.15 * self.pace, 1.0 * self.pace),
-                founders=founders if told else disk.founders,
+                founders=founders if has_founders else disk.founders,
             )
         entry = "entry" in cfg["roles"]
         self.nodes[name] = Node(
             MembershipDecider(
-                me, group, rng, MembershipTiming(interval=0.5 * self.pace)
+                own_row, group, rng, MembershipTiming(interval=0.5 * self.pace)
             ),
             rng,
             query_decider=QueryDecider(cfg["dc"], rng) if entry else None,
@@ -198,96 +208,101 @@
             self.put(name, self.disks[name].recovered())
 
     def reseed(self, name: str, group) -> None:
-        """Changes the settings of a node, while it runs or before a start."""
+        """Changes the seeds of an instance, running or not."""
         self._configs[name]["group"] = group
         seeds = {n: f"{n}:1" for n in group}
         if name in self.nodes:
             self.put(name, SeedsChanged(seeds))
 
     def kill(self, name: str) -> None:
-        """Ends a node; what it had not synced is lost."""
-        self._lives[name] += 1
+        """Kills an instance; data that is not synced is lost."""
+        self._generations[name] += 1
         self.nodes.pop(name, None)
         self.frozen.pop(name, None)
 
     def lose_disk(self, name: str) -> None:
-        """Removes a node's disk; the next start makes a new identity."""
+        """Removes an instance's disk; the next start makes a new identity."""
         self.disks.pop(name, None)
 
     def freeze(self, name: str) -> None:
-        """Stops a node like SIGSTOP: what comes waits in its sockets."""
+        """Stops an instance like SIGSTOP: messages to it are queued."""
         self.frozen[name] = []
 
     def thaw(self, name: str) -> None:
-        """Lets a frozen node go on."""
+        """Resumes a frozen instance and delivers the queued messages."""
         for msg in self.frozen.pop(name):
             self.put(name, msg)
-        self._wakes[name] = self.now
+        self._wake_times[name] = self.now
         self.put(name)
 
     def cut_off(self, name: str, *, one_way: bool = False) -> None:
-        """Cuts a node off from all others."""
+        """Partitions an instance from all others."""
         for other in self._configs:
             self.cut.add((name, other))
             if not one_way:
                 self.cut.add((other, name))
 
     def heal(self) -> None:
-        """Removes all cuts."""
+        """Removes all partitions."""
         self.cut.clear()
 
     def put(self, name: str, *msgs: object, after: float = 0.0) -> None:
-        """Hands messages to a node after a time."""
+        """Delivers messages to an instance after a delay in seconds."""
         event = (self.now + after, next(self._ids), name)
-        heapq.heappush(self._events, (*event, self._lives[name], msgs))
+        heapq.heappush(self._events, (*event, self._generations[name], msgs))
 
     def run(self, seconds: float) -> None:
-        """Runs all events of the next seconds."""
+        """Runs all events of the given time."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
-            at, _, name, life, msgs = heapq.heappop(self._events)
+            at, _, name, generation, msgs = heapq.heappop(self._events)
             self.now = max(self.now, at)
-            if life != self._lives.get(name) or name not in self.nodes:
+            if (
+                generation != self._generations.get(name)
+                or name not in self.nodes
+            ):
                 continue
             if not msgs:
-                if self._wakes.get(name) != at:
+                if self._wake_times.get(name) != at:
                     continue
-                del self._wakes[name]
+                del self._wake_times[name]
             self._deliver(name, msgs)
         self.now = until
 
     def run_until(self, condition, most: float = 60.0) -> float:
-        """Runs until a condition holds; returns how long that took."""
+        """Runs until a condition holds; returns the fake time that it took."""
         start = self.now
         while not condition():
-            assert self.now - start < most, "waited too long"
+            assert self.now - start < most, "condition not met in time"
             self.run(0.01)
         return self.now - start
 
     def _deliver(self, name: str, msgs: tuple) -> None:
-        msgs = tuple(self._sync(name, msg) for msg in msgs)
+        msgs = tuple(self._complete_sync(name, msg) for msg in msgs)
         if name in self.frozen:
             self.frozen[name].extend(msgs)
             return
         node = self.nodes[name]
         for msg in node.step(self.now, msgs):
-            self._act(name, msg)
+            self._handle_output(name, msg)
         wake = max(node.next_wake(), self.now + 0.0005)
-        if wake < self._wakes.get(name, float("inf")):
-            self._wakes[name] = wake
-            event = (wake, next(self._ids), name, self._lives[name], ())
+        if wake < self._wake_times.get(name, float("inf")):
+            self._wake_times[name] = wake
+            event = (wake, next(self._ids), name, self._generations[name], ())
             heapq.heappush(self._events, event)
 
-    def _act(self, name: str, msg: object) -> None:
+    def _handle_output(self, name: str, msg: object) -> None:
         self.out.append((self.now, name, msg))
         if isinstance(msg, Send):
             lost = self.rng.random() < self.drop_share
             lost = lost or (self.loses is not None and self.loses(msg))
-            reachable = msg.to in self._lives and (name, msg.to) not in self.cut
+            reachable = (
+                msg.to in self._generations and (name, msg.to) not in self.cut
+            )
             if reachable and not lost:
-                self._carry(name, msg)
+                self._transmit(name, msg)
         elif isinstance(msg, Persist):
-            self.put(name, _Sync(msg), after=SYNC_S)
+            self.put(name, _SyncDone(msg), after=SYNC_S)
         elif isinstance(msg, q.StartAttempt):
             self.attempts.append((name, msg))
             searcher = self.searchers.get(msg.server)
@@ -296,13 +311,13 @@
                 if reply is not None:
                     self.put(name, reply, after=delay)
 
-    def _sync(self, name: str, msg: object) -> object:
-        if not isinstance(msg, _Sync):
+    def _complete_sync(self, name: str, msg: object) -> object:
+        if not isinstance(msg, _SyncDone):
             return msg
         self.disks[name].synced.append(msg.operation)
         return Persisted(msg.operation.op)
 
-    def _carry(self, name: str, msg: Send) -> None:
+    def _transmit(self, name: str, msg: Send) -> None:
         self.sent[type(msg.payload)] += 1
         copies = 1 + (self.rng.random() < self.double_share)
         for _ in range(copies):
@@ -311,11 +326,11 @@
             self.put(msg.to, received, after=delay)
 
     def replies(self, kind: type = q.Reply) -> list:
-        """Returns all messages of a kind sent so far."""
+        """Returns all output messages of a class so far."""
         return of_kind([msg for _, _, msg in self.out], kind)
 
     def leader(self) -> str:
-        """Returns the one live leader's name, '' if there is none."""
+        """Returns the name of the running leader, '' if there is none."""
         names = [
             name
             for name, node in self.nodes.items()
@@ -327,5 +342,5 @@
 
 
 @attrs.frozen
-class _Sync:
+class _SyncDone:
     operation: Persist
--- a/tests/stories.py
+++ b/tests/stories.py
@@ -1,4 +1,4 @@
-"""Tells what came out of a fake fleet, for golden files."""
+"""Formats the output messages of a fake fleet for golden files."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from tests.fakes import FakeFleet
 
 
-def _is_noise(msg: object) -> bool:
+def _is_periodic(msg: object) -> bool:
     if not isinstance(msg, Send):
         return False
     payload = msg.payload
@@ -27,18 +27,18 @@
 
 
 def story(fleet: FakeFleet) -> str:
-    """Returns what came out of all nodes, a line each, without heartbeats."""
+    """Returns a line for each output message of all nodes but heartbeats."""
     lines = [
-        f"{at:8.3f} {name}: {_tell(msg)}"
+        f"{at:8.3f} {name}: {_format(msg)}"
         for at, name, msg in fleet.out
-        if not _is_noise(msg)
+        if not _is_periodic(msg)
     ]
     return "\n".join(lines) + "\n"
 
 
-def _tell(msg: object) -> str:
+def _format(msg: object) -> str:
     if isinstance(msg, Send):
-        return f"to {msg.to} {_tell(msg.payload)}"
+        return f"to {msg.to} {_format(msg.payload)}"
     shown = {
         field.name: getattr(msg, field.name)
         for field in attrs.fields(type(msg))
--- a/tests/test_aio/helpers.py
+++ b/tests/test_aio/helpers.py
@@ -1,4 +1,4 @@
-"""Raw sockets on ephemeral loopback ports."""
+"""Scripted servers on ephemeral loopback ports."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 import struct
 from contextlib import asynccontextmanager
 
-PATIENCE_S = 5.0
+TEST_TIMEOUT_S = 5.0
 
 
 def run(coro):
-    """Runs a test's coroutine, and ends it if it hangs."""
-    return asyncio.run(asyncio.wait_for(coro, PATIENCE_S))
+    """Runs a test's coroutine with a timeout."""
+    return asyncio.run(asyncio.wait_for(coro, TEST_TIMEOUT_S))
 
 
 @asynccontextmanager
 async def raw_server(script):
-    """Listens; ``script(reader, writer)`` plays each connection.
+    """Runs a server; ``script(reader, writer)`` handles each connection.
 
     Yields:
-        The address.
+        The server's address.
     """
     tasks = set()
 
-    async def play(reader, writer):
+    async def handle(reader, writer):
         tasks.add(asyncio.current_task())
         try:
             await script(reader, writer)
@@ -33,7 +33,7 @@
         finally:
             writer.close()
 
-    server = await asyncio.start_server(play, "127.0.0.1", 0)
+    server = await asyncio.start_server(handle, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     try:
         yield f"{host}:{port}"
@@ -44,7 +44,7 @@
 
 
 def reset(writer):
-    """Ends a connection with a reset; an abort alone ends it in order."""
+    """Closes a connection with RST; ``abort`` alone would send FIN."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(
         socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
@@ -53,11 +53,11 @@
 
 
 async def read_head(reader):
-    """Reads up to the end of a message's headers."""
+    """Reads up to the end of the headers."""
     return await reader.readuntil(b"\r\n\r\n")
 
 
 def ok(body, *headers):
-    """Returns the bytes of an answer with a length."""
+    """Returns the bytes of a 200 response with ``Content-Length``."""
     lines = [b"HTTP/1.1 200 OK", *headers, b"Content-Length: %d" % len(body)]
     return b"\r\n".join([*lines, b"", body])
--- a/tests/test_aio/test_client.py
+++ b/tests/test_aio/test_client.py
@@ -1,4 +1,4 @@
-"""Connections to searchers, against scripted raw sockets."""
+"""HTTP client connections, against scripted servers."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 GET = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
-def mine(request_id):
-    """Accepts answers that echo this id, as bytes of the header ``Id``."""
+def echoes_id(request_id):
+    """Returns a filter for responses whose header ``Id`` is this id."""
     return lambda headers: (b"Id", request_id) in headers
 
 
 async def ask(pool, address, is_mine=lambda _: True, data=GET):
-    """Sends one request and returns its end."""
+    """Sends one request and returns the response or failure."""
     fut = asyncio.get_running_loop().create_future()
     pool.send(address, data, fut.set_result, is_mine)
     return await fut
 
 
-class TestWholeAnswers:
-    """Framing by length, by chunks, by the end of the connection."""
+class TestResponseFraming:
+    """Responses framed by length, chunks or the end of the connection."""
 
-    def test_length_and_reuse(self):
+    def test_length_and_connection_reuse(self):
         seen = []
 
         async def script(reader, writer):
@@ -74,9 +74,9 @@
 
 
 class TestTruncated:
-    """Symptom: half a body was handed to a caller as a whole one."""
+    """A truncated body must not be delivered as a complete response."""
 
-    def test_short_of_its_length(self):
+    def test_body_shorter_than_its_length(self):
         async def script(reader, writer):
             await read_head(reader)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
@@ -104,7 +104,7 @@
 
         assert isinstance(run(main()), HttpFailure)
 
-    def test_not_an_answer(self):
+    def test_invalid_response(self):
         async def script(reader, writer):
             await read_head(reader)
             writer.write(b"\x00\x01 nonsense\r\n\r\n")
@@ -118,15 +118,14 @@
 
 
 class TestExtraAnswers:
-    """Bytes that belong to no request of ours."""
+    """Responses that do not belong to the request in flight."""
 
-    def test_late_extra_answer_before_ours(self):
-        """The answer to an earlier request came in front of ours.
+    def test_duplicate_of_an_earlier_response_comes_first(self):
+        """Guards against records delivered under another request's signature.
 
-        Symptom: a caller got records under another request's signature.
-        Sequence: a searcher answers twice; the second copy arrives together
-        with the answer to the next request, in one piece.
-        Cause: headers of both were collected into one answer.
+        A searcher answers a request twice. The duplicate arrives together with
+        the response to the next request, and the headers of both were merged
+        into one response.
         """
 
         async def script(reader, writer):
@@ -138,7 +137,7 @@
 
         async def main():
             async with raw_server(script) as address:
-                return await ask(Pool(), address, mine(b"new"))
+                return await ask(Pool(), address, echoes_id(b"new"))
 
         answer = run(main())
         assert isinstance(answer, HttpAnswer)
@@ -146,8 +145,8 @@
         assert answer.headers[0] == (b"Id", b"new")
         assert (b"Stamp", b"old") not in answer.headers
 
-    def test_extra_answer_behind_ours(self):
-        """The connection is not used again, so the copy reaches nobody."""
+    def test_duplicate_response_comes_second(self):
+        """The connection is not reused, so the duplicate is discarded."""
         seen = []
 
         async def script(reader, writer):
@@ -159,7 +158,9 @@
         async def main():
             async with raw_server(script) as address:
                 pool = Pool()
-                ends = [await ask(pool, address, mine(b"new")) for _ in "ab"]
+                ends = [
+                    await ask(pool, address, echoes_id(b"new")) for _ in "ab"
+                ]
                 return [end.body for end in ends]
 
         assert run(main()) == [b"right", b"right"]
@@ -185,9 +186,9 @@
 
 
 class TestConnections:
-    """What is told of connections that don't stand or don't last."""
+    """Connections that can't be opened, are reset or are cancelled."""
 
-    def test_nobody_listens(self):
+    def test_connection_refused(self):
         async def main():
             return await ask(Pool(), "127.0.0.1:1")
 
@@ -195,8 +196,8 @@
         assert isinstance(end, HttpFailure)
         assert not end.sent
 
-    def test_dropped_while_idle(self):
-        """A searcher forgets an idle connection without a word."""
+    def test_reset_of_an_idle_connection_is_stale(self):
+        """A searcher drops an idle connection without closing it."""
 
         async def script(reader, writer):
             await read_head(reader)
@@ -214,7 +215,7 @@
         assert end.stale
 
     def test_cancel_closes_the_connection(self):
-        """The searcher sees the end and drops the request."""
+        """The searcher sees the end of the connection."""
         closed = asyncio.Event()
 
         async def script(reader, writer):
--- a/tests/test_aio/test_links.py
+++ b/tests/test_aio/test_links.py
@@ -1,4 +1,4 @@
-"""Links between processes of ours, over loopback."""
+"""Links between instances, over loopback."""
 
 from __future__ import annotations
 
@@ -37,15 +37,15 @@
 
 
 class Inbox:
-    """Collects messages, and waits for one."""
+    """Collects messages; ``get`` waits for one of a class."""
 
     def __init__(self):
         self.msgs = []
-        self.came = asyncio.Event()
+        self.changed = asyncio.Event()
 
     def put(self, msg):
         self.msgs.append(msg)
-        self.came.set()
+        self.changed.set()
 
     async def get(self, kind):
         while True:
@@ -53,12 +53,12 @@
                 if isinstance(msg, kind):
                     self.msgs.remove(msg)
                     return msg
-            self.came.clear()
-            await self.came.wait()
+            self.changed.clear()
+            await self.changed.wait()
 
 
-async def pair():
-    """Returns two linked ends and their inboxes; the second one dialled."""
+async def linked_pair():
+    """Returns the accepting and the dialling end, each with its inbox."""
     one, two = Inbox(), Inbox()
     server = Links("one", "127.0.0.1:0", one.put)
     await server.start()
@@ -72,11 +72,11 @@
 
 
 class TestLinks:
-    """Both sides send on one connection."""
+    """Messages over one connection, and its loss."""
 
-    def test_both_ways(self):
+    def test_messages_in_both_directions(self):
         async def main():
-            server, one, client, two = await pair()
+            server, one, client, two = await linked_pair()
             client.send(Send("one", DocumentNumber(1)))
             server.send(Send("two", DocumentNumber(2)))
             return await one.get(Received), await two.get(Received)
@@ -85,9 +85,9 @@
         assert (first.sender, first.payload.number) == ("two", 1)
         assert (second.sender, second.payload.number) == ("one", 2)
 
-    def test_lost_link_is_told_and_dialled_again(self):
+    def test_closed_link_is_reported_and_dialled_again(self):
         async def main():
-            server, one, _, two = await pair()
+            server, one, _, two = await linked_pair()
             for link in list(server.open):
                 link.close()
             await two.get(LinkDown)
@@ -96,10 +96,10 @@
         run(main())
 
     def test_silent_link_is_closed(self, monkeypatch):
-        """A cut drops no connection; without the bound it looks alive."""
+        """A network partition closes no connection; the timeout must."""
 
         async def main():
-            server, _, client, two = await pair()
+            server, _, client, two = await linked_pair()
             for link in client.open:
                 link.last_received_at -= (
                     links_module.DIALLED_SILENCE_TIMEOUT_S + 1
@@ -109,11 +109,11 @@
 
         run(main())
 
-    def test_large_batch_is_packed_and_arrives_whole(self):
-        """Rows of all searchers to each entry were a fifth of the bytes."""
+    def test_large_batch_is_compressed(self):
+        """Rows of searchers sent to entries were a fifth of all bytes."""
 
         async def main():
-            server, one, client, two = await pair()
+            server, one, client, two = await linked_pair()
             before = client.sent_bytes
             client.send(Send("one", NumberedDocument(7, b"row " * 5000)))
             got = await one.get(Received)
@@ -124,9 +124,9 @@
         assert size < 1000
 
     @pytest.mark.parametrize("body", [b"nonsense", zlib.compress(b"x")[:-2]])
-    def test_bad_packed_frame_closes(self, body):
+    def test_invalid_compressed_frame_closes_the_link(self, body):
         async def main():
-            server, one, client, two = await pair()
+            server, one, client, two = await linked_pair()
             head = struct.pack("!I", len(body) | links_module.COMPRESSED_FLAG)
             for link in client.open:
                 link._transport.write(head + body)
@@ -134,11 +134,11 @@
 
         run(main())
 
-    def test_rows_that_many_get_are_the_same_for_each(self):
-        """They are encoded once; a later message must not meet old bytes."""
+    def test_cached_encoding_of_broadcast_rows(self):
+        """A changed message must not be sent from the cache."""
 
         async def main():
-            server, one, client, two = await pair()
+            server, one, client, two = await linked_pair()
             for rows in (ROWS, attrs.evolve(ROWS, number=2), ROWS):
                 client.send(Send("one", rows))
             return [(await one.get(Received)).payload for _ in range(3)]
@@ -147,11 +147,11 @@
         assert first == third == ROWS
         assert second == attrs.evolve(ROWS, number=2)
 
-    def test_each_end_is_named_once(self):
-        """Later frames carry no name and are still the same sender's."""
+    def test_name_is_sent_in_the_first_frame_only(self):
+        """Later frames are attributed to the same sender without a name."""
 
         async def main():
-            server, one, client, two = await pair()
+            server, one, client, two = await linked_pair()
             client.send(Send("one", DocumentNumber(1)))
             first = await one.get(Received)
             before = client.sent_bytes
@@ -165,34 +165,33 @@
         assert (first.sender, second.sender) == ("two", "two")
         assert size <= 20
 
-    def test_bad_frame_closes(self):
+    def test_invalid_frame_closes_the_link(self):
         async def main():
-            server, one, client, two = await pair()
+            server, one, client, two = await linked_pair()
             for link in client.open:
                 link._transport.write(b"\xff\xff\xff\xff nonsense")
             await one.get(LinkDown)
 
         run(main())
 
-    def test_without_a_link_a_message_is_lost_quietly(self):
+    def test_message_without_a_link_is_dropped(self):
         async def main():
-            server, one, _, _ = await pair()
+            server, one, _, _ = await linked_pair()
             server.send(Send("nobody", DocumentNumber(1)))
             await asyncio.sleep(0.01)
 
         run(main())
 
 
-class TestUnwanted:
-    """Addresses of machines that are gone for good.
+class TestRemovedAddresses:
+    """Addresses of replaced control instances are no longer dialled.
 
-    Control instances that were replaced were dialled about once a second by
-    each process that had known them, until that process ended: with 200
-    processes and a few replacements a day that only grows. What was wanted
-    once stayed wanted, as each list was added to those before.
+    Each new list of addresses was added to the earlier ones, so every process
+    kept dialling replaced instances about once a second until it ended: with
+    200 processes and a few replacements a day that load only grows.
     """
 
-    def test_gone_address_is_dialled_no_more(self, monkeypatch):
+    def test_removed_address_is_not_dialled(self, monkeypatch):
         dialled = []
 
         async def main():
@@ -213,11 +212,11 @@
         run(main())
         assert set(dialled) == {2}
 
-    def test_link_that_stands_is_kept(self):
-        """What a list names no more may still be in the middle of a word."""
+    def test_open_link_is_kept(self):
+        """A link whose address was removed may still carry messages."""
 
         async def main():
-            server, one, client, two = await pair()
+            server, one, client, two = await linked_pair()
             client.want(set())
             await asyncio.sleep(0.01)
             client.send(Send("one", DocumentNumber(1)))
@@ -225,9 +224,9 @@
 
         assert run(main()).payload == DocumentNumber(1)
 
-    def test_wanted_again_after_it_was_not(self):
+    def test_address_added_again(self):
         async def main():
-            server, one, client, two = await pair()
+            server, one, client, two = await linked_pair()
             address = next(iter(client.open)).dialled
             client.want(set())
             client.want({address})
@@ -239,16 +238,15 @@
         run(main())
 
 
-class TestDialPace:
-    """Dials to a machine that is dark, then listens."""
+class TestDialBackoff:
+    """Connection attempts to a machine that is down at first."""
 
-    def test_found_soon_after_a_loss_of_power(self):
-        """Symptom: an entry's first link stood a second after its start.
+    def test_short_intervals_at_first(self):
+        """Guards against a first link only a second after an entry's start.
 
-        Sequence: all machines lose power and come back some ten milliseconds
-        apart. The entry dials while the control machine is dark; the packet
-        is dropped and sent again after a second. Cause: one dial could take
-        0.8 s.
+        After a power loss machines come back some ten milliseconds apart. An
+        entry dials a control machine that is still down; the SYN is dropped
+        and retransmitted after a second, and one attempt could take 0.8 s.
         """
         backoff = DialBackoff()
         at = 0.0
@@ -261,7 +259,7 @@
         early = [gap for gap, at in zip(gaps, begun, strict=False) if at < 0.5]
         assert max(early) < 0.15
 
-    def test_a_machine_that_stays_dark_is_left_alone(self):
+    def test_intervals_grow_to_a_bound(self):
         backoff = DialBackoff()
         for _ in range(100):
             backoff.note_failure()
--- a/tests/test_aio/test_server.py
+++ b/tests/test_aio/test_server.py
@@ -1,4 +1,4 @@
-"""Callers' connections, from raw sockets."""
+"""HTTP server connections, against raw sockets."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 
 
 class Recorder:
-    """Takes requests and answers them when told."""
+    """Records requests; replies at once unless ``answer`` is false."""
 
     def __init__(self, answer=True):
         self.answer = answer
         self.reqs = []
-        self.lost = []
-        self.came = asyncio.Event()
+        self.disconnected = []
+        self.changed = asyncio.Event()
 
     def take(self, req):
         self.reqs.append(req)
-        self.came.set()
+        self.changed.set()
         if self.answer:
             req.conn.reply(req, 200, (), req.target.encode())
 
     def gone(self, req):
-        self.lost.append(req)
-        self.came.set()
+        self.disconnected.append(req)
+        self.changed.set()
 
 
 @asynccontextmanager
-async def served(handler, **limits):
-    """Starts a server and connects to it."""
+async def running_server(handler, **limits):
+    """Runs a server and opens a connection to it."""
     server = HttpServer("127.0.0.1:0", handler, Limits(**limits))
     await server.start()
     host, port = server._server.sockets[0].getsockname()
@@ -47,20 +47,24 @@
         server.stop_accepting()
 
 
-async def talk(data, handler=None, **limits):
-    """Sends bytes, returns all that comes until the server closes."""
-    async with served(handler or Recorder(), **limits) as (_, reader, writer):
+async def exchange(data, handler=None, **limits):
+    """Sends bytes; returns all that is received until the server closes."""
+    async with running_server(handler or Recorder(), **limits) as (
+        _,
+        reader,
+        writer,
+    ):
         writer.write(data)
         return await reader.read()
 
 
 class TestFraming:
-    """Requests are framed in one way, or refused."""
+    """Requests with ambiguous framing or beyond the limits are rejected."""
 
     def test_body_in_chunks(self):
         async def main():
             handler = Recorder()
-            await talk(
+            await exchange(
                 b"POST /a HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
                 b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
                 handler,
@@ -69,16 +73,16 @@
 
         assert run(main()) == b"abc"
 
-    def test_two_framings_are_refused(self):
-        """A request smuggled inside another one.
+    def test_length_and_chunks_together_are_rejected(self):
+        """Guards against request smuggling.
 
-        Symptom: a searcher ran a request that no caller had sent. Cause: one
-        reader went by the length, the next by the chunks.
+        A searcher ran a request that no caller had sent, because one parser
+        used the length and the next one the chunks.
         """
 
         async def main():
             handler = Recorder()
-            answer = await talk(
+            answer = await exchange(
                 b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n"
                 b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /b HTTP/1.1"
                 b"\r\nHost: h\r\n\r\n",
@@ -98,8 +102,8 @@
             (b"POST / HTTP/1.1\r\nContent-Length: 99\r\n\r\n", b"413"),
         ],
     )
-    def test_refusals(self, head, status):
-        answer = run(talk(head, header_bytes=500, body_bytes=50))
+    def test_rejected_heads(self, head, status):
+        answer = run(exchange(head, header_bytes=500, body_bytes=50))
         assert answer.startswith(b"HTTP/1.1 " + status)
 
     def test_chunks_beyond_the_limit(self):
@@ -107,19 +111,19 @@
             b"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
             b"40\r\n" + b"a" * 64 + b"\r\n0\r\n\r\n"
         )
-        answer = run(talk(data, body_bytes=50))
+        answer = run(exchange(data, body_bytes=50))
         assert answer.startswith(b"HTTP/1.1 413")
 
-    def test_slow_header_is_refused(self):
-        answer = run(talk(b"GET / HT", header_timeout_s=0.1))
+    def test_header_timeout(self):
+        answer = run(exchange(b"GET / HT", header_timeout_s=0.1))
         assert answer.startswith(b"HTTP/1.1 408")
 
     def test_idle_connection_is_closed(self):
-        assert run(talk(b"", idle_timeout_s=0.1)) == b""
+        assert run(exchange(b"", idle_timeout_s=0.1)) == b""
 
-    def test_expectation(self):
+    def test_expect_continue(self):
         async def main():
-            async with served(Recorder()) as (_, reader, writer):
+            async with running_server(Recorder()) as (_, reader, writer):
                 writer.write(
                     b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n"
                     b"Expect: 100-continue\r\n\r\n"
@@ -130,11 +134,11 @@
 
 
 class TestOrder:
-    """Answers come in the order of the requests."""
+    """Replies are sent in the order of the requests."""
 
     def test_pipelined(self):
         async def main():
-            return await talk(
+            return await exchange(
                 b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\n"
                 b"GET /2 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
             )
@@ -142,12 +146,12 @@
         answer = run(main())
         assert answer.index(b"/1") < answer.index(b"/2")
 
-    def test_second_waits_for_the_first(self):
+    def test_second_request_waits_for_the_first_reply(self):
         async def main():
             handler = Recorder(answer=False)
-            async with served(handler) as (_, reader, writer):
+            async with running_server(handler) as (_, reader, writer):
                 writer.write(b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\n" * 2)
-                await handler.came.wait()
+                await handler.changed.wait()
                 await asyncio.sleep(0.02)
                 before = len(handler.reqs)
                 first = handler.reqs[0]
@@ -157,14 +161,14 @@
 
         assert run(main()) == (1, 2)
 
-    def test_late_answer_reaches_nobody(self):
-        """A second answer to one request would be the next one's."""
+    def test_second_reply_is_discarded(self):
+        """A second reply to a request must not answer the next one."""
 
         async def main():
             handler = Recorder(answer=False)
-            async with served(handler) as (_, reader, writer):
+            async with running_server(handler) as (_, reader, writer):
                 writer.write(b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\n" * 2)
-                await handler.came.wait()
+                await handler.changed.wait()
                 first = handler.reqs[0]
                 first.conn.reply(first, 200, (), b"one")
                 first.conn.reply(first, 200, (), b"again")
@@ -178,25 +182,25 @@
 
 
 class TestEnds:
-    """Callers that leave, and a server that leaves."""
+    """Callers that disconnect, and a server that shuts down."""
 
-    def test_gone_caller_is_told(self):
+    def test_handler_is_notified_of_a_disconnect(self):
         async def main():
             handler = Recorder(answer=False)
-            async with served(handler) as (_, _, writer):
+            async with running_server(handler) as (_, _, writer):
                 writer.write(b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\n")
-                await handler.came.wait()
-                handler.came.clear()
+                await handler.changed.wait()
+                handler.changed.clear()
                 writer.close()
-                await handler.came.wait()
-                return handler.reqs == handler.lost
+                await handler.changed.wait()
+                return handler.reqs == handler.disconnected
 
         assert run(main())
 
-    def test_closing_server_ends_kept_connections_after_their_answer(self):
+    def test_closing_server_closes_connections_after_their_reply(self):
         async def main():
             handler = Recorder()
-            async with served(handler) as (server, reader, writer):
+            async with running_server(handler) as (server, reader, writer):
                 server.limits.closing = True
                 writer.write(b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\n")
                 return await reader.read()
@@ -208,9 +212,9 @@
     def test_idle_connections_close_and_busy_ones_stay(self):
         async def main():
             handler = Recorder(answer=False)
-            async with served(handler) as (server, reader, writer):
+            async with running_server(handler) as (server, reader, writer):
                 writer.write(b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\n")
-                await handler.came.wait()
+                await handler.changed.wait()
                 server.close_idle()
                 req = handler.reqs[0]
                 req.conn.reply(req, 200, (), b"whole", close=True)
@@ -220,14 +224,13 @@
 
 
 class TestEarlyListener:
-    """A process listens before it can accept."""
+    """A process listens before it can accept connections."""
 
-    def test_caller_that_came_early_is_answered(self):
-        """Symptom: callers failed in the second after a kill of everything.
+    def test_early_caller_is_answered(self):
+        """Guards against callers that fail just after all processes are killed.
 
-        Sequence: all processes are killed; a caller connects to one that is
-        starting, is refused, tries the next and is refused again. Cause: a
-        process listened only at the end of its start.
+        A process listened only at the end of its start: a caller was refused
+        by one starting process, tried the next and was refused again.
         """
 
         async def main():
--- a/tests/test_aio/test_sockets.py
+++ b/tests/test_aio/test_sockets.py
@@ -1,4 +1,4 @@
-"""What the system tells of a connection."""
+"""Round-trip times that the kernel reports for a connection."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from greengagemoor.aio.server import HttpServer
 
 
-class Collects:
-    """Takes requests and answers them at once."""
+class ReplyingHandler:
+    """Records requests and replies at once."""
 
     def __init__(self):
-        self.taken: list[HttpRequest] = []
+        self.requests: list[HttpRequest] = []
 
     def take(self, req):
-        self.taken.append(req)
+        self.requests.append(req)
         req.conn.reply(req, 200)
 
     def gone(self, req):
@@ -33,14 +33,14 @@
     for _ in range(2):
         writer.write(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
         await reader.readuntil(b"\r\n\r\n")
-    ways = [req.way_s for req in handler.taken]
+    network_times = [req.way_s for req in handler.requests]
     writer.close()
     server.stop_accepting()
-    return ways
+    return network_times
 
 
-class Transport:
-    """Stands for a transport with a socket that has options or none."""
+class FakeTransport:
+    """A transport with the given socket, or None."""
 
     def __init__(self, sock):
         self.sock = sock
@@ -49,27 +49,29 @@
         return self.sock
 
 
-class Refuses:
-    """A socket on a system that tells nothing."""
+class SocketWithoutOptions:
+    """A socket on a platform without ``TCP_INFO``."""
 
     def getsockopt(self, *args):
         raise OSError(92, "Protocol not available")
 
 
 class TestRoundTrip:
-    """The caller's way, as the system has seen it."""
+    """Network time to the caller, from the kernel's round-trip time."""
 
-    def test_first_request_pays_for_its_connection(self):
-        handler = Collects()
+    def test_first_request_includes_its_connection(self):
+        handler = ReplyingHandler()
         first, second = asyncio.run(ask_twice(handler))
-        assert [req.is_first for req in handler.taken] == [True, False]
+        assert [req.is_first for req in handler.requests] == [True, False]
         assert 0.0 < second < 1.0
         assert 0.0 < first < 2.0
 
-    def test_unknown(self):
-        """Guards against an entry that fails where nothing is told."""
-        assert sockets.round_trip_s(Transport(Refuses())) is None
-        assert sockets.round_trip_s(Transport(None)) is None
+    def test_round_trip_not_available(self):
+        """Guards against a failure on platforms without round-trip times."""
+        assert (
+            sockets.round_trip_s(FakeTransport(SocketWithoutOptions())) is None
+        )
+        assert sockets.round_trip_s(FakeTransport(None)) is None
         with socket.socket() as sock:
-            # Nothing was ever sent on it.
-            assert sockets.round_trip_s(Transport(sock)) is None
+            # Nothing was sent on this socket.
+            assert sockets.round_trip_s(FakeTransport(sock)) is None
--- a/tests/test_storage/test_store.py
+++ b/tests/test_storage/test_store.py
@@ -1,4 +1,4 @@
-"""The data folder through crashes, damage and failing disks."""
+"""The data folder after crashes, damage and disk failures."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 def entries(*indexes: int, term: int = 1) -> tuple[LogEntry, ...]:
-    """Returns log entries."""
+    """Returns log entries with these indexes."""
     return tuple(LogEntry(i, term, NoOp(float(i))) for i in indexes)
 
 
-def fill(path, count: int = 3) -> None:
-    """Writes a vote and some entries, one sync each."""
+def write_journal(path, count: int = 3) -> None:
+    """Writes a vote and ``count`` entries, one sync each."""
     store = open_store(path)
     store.recover()
     store.write([Persist(1, hard=HARD)])
@@ -56,21 +56,21 @@
 
 
 def journal(path):
-    """Returns the journal file."""
+    """Returns the path of the latest journal."""
     return max(path.glob("journal-*.bin"))
 
 
 class TestRecovery:
-    """What a restart finds."""
+    """State that a restart recovers."""
 
-    def test_all_that_was_synced(self, tmp_path):
-        fill(tmp_path)
+    def test_synced_state_is_recovered(self, tmp_path):
+        write_journal(tmp_path)
         found = reopen(tmp_path)
         assert found.hard == HARD
         assert found.entries == entries(1, 2, 3)
 
-    def test_replaced_tail(self, tmp_path):
-        fill(tmp_path)
+    def test_entry_replaces_later_ones(self, tmp_path):
+        write_journal(tmp_path)
         store = open_store(tmp_path)
         store.recover()
         store.write([Persist(9, entries=entries(2, term=2))])
@@ -79,15 +79,13 @@
         assert found.entries == entries(1) + entries(2, term=2)
 
     @pytest.mark.parametrize("cut", range(1, 30))
-    def test_torn_tail_is_dropped(self, tmp_path, cut):
-        """A crash in the middle of a write.
+    def test_torn_tail_is_truncated(self, tmp_path, cut):
+        """Guards against a member that does not start after a power loss.
 
-        Symptom: a member does not start after a power loss.
-        Sequence: the last record is half written; it was never synced, and
-        nobody was told of it.
-        Cause: a torn record is taken for damage.
+        The last record is half written. It was never synced or acknowledged
+        and must not be mistaken for a damaged record.
         """
-        fill(tmp_path)
+        write_journal(tmp_path)
         store = open_store(tmp_path)
         store.recover()
         before = journal(tmp_path).stat().st_size
@@ -98,26 +96,24 @@
         assert reopen(tmp_path).entries == entries(1, 2, 3)
         assert reopen(tmp_path).entries == entries(1, 2, 3)
 
-    def test_flipped_bit_in_a_synced_record_is_refused(self, tmp_path):
-        """A member that forgets without a word.
+    def test_flipped_bit_in_a_synced_record_is_rejected(self, tmp_path):
+        """Guards against losing an accepted document in a restart.
 
-        Symptom: an accepted document is gone after a restart.
-        Sequence: a bit of a synced record flips on the disk; the member
-        starts with the records before it, and votes.
-        Cause: damage is taken for a torn tail.
+        A bit of a synced record flips on the disk. If the damage is mistaken
+        for a torn tail, the member starts with the records before it and votes.
         """
-        fill(tmp_path)
+        write_journal(tmp_path)
         file = journal(tmp_path)
-        good = file.read_bytes()
-        for position in range(20, len(good) - 20, 7):
-            damaged = bytearray(good)
+        intact = file.read_bytes()
+        for position in range(20, len(intact) - 20, 7):
+            damaged = bytearray(intact)
             damaged[position] ^= 0x10
             file.write_bytes(bytes(damaged))
             with pytest.raises(CorruptRecordError):
                 reopen(tmp_path)
 
-    def test_truncated_snapshot_is_refused(self, tmp_path):
-        fill(tmp_path)
+    def test_truncated_snapshot_is_rejected(self, tmp_path):
+        write_journal(tmp_path)
         store = open_store(tmp_path)
         store.recover()
         snapshot = Snapshot(2, 1, (), b"x" * 500)
@@ -128,45 +124,44 @@
         with pytest.raises(CorruptRecordError):
             reopen(tmp_path)
 
-    def test_lost_journal_is_refused(self, tmp_path):
-        fill(tmp_path)
+    def test_missing_journal_is_rejected(self, tmp_path):
+        write_journal(tmp_path)
         journal(tmp_path).unlink()
         with pytest.raises(CorruptRecordError):
             reopen(tmp_path)
 
     def test_crash_at_every_step_of_a_snapshot(self, tmp_path, monkeypatch):
-        """Neither the old state nor the new one.
+        """Guards against losing the state in a crash during a snapshot.
 
-        Symptom: a member comes back empty after a crash while it saved.
-        Sequence: the process dies between any two steps of the change from
-        one generation of files to the next.
-        Cause: the old files are removed before the new ones are whole.
+        The process crashes between any two steps from one generation of files
+        to the next; the old files must not be removed before the new ones are
+        complete.
         """
         snapshot = Snapshot(2, 1, (), b"state")
-        steps = {"left": 0}
+        syncs = {"left": 0}
         real = os.fsync
 
         def fsync(handle):
-            steps["left"] -= 1
-            if steps["left"] < 0:
+            syncs["left"] -= 1
+            if syncs["left"] < 0:
                 raise OSError(errno.EIO, "power loss")
             real(handle)
 
         monkeypatch.setattr(os, "fsync", fsync)
         for allowed in range(8):
             path = tmp_path / str(allowed)
-            steps["left"] = 1000
-            fill(path)
+            syncs["left"] = 1000
+            write_journal(path)
             store = open_store(path)
             store.recover()
-            steps["left"] = allowed
+            syncs["left"] = allowed
             try:
                 store.write([Persist(9, HARD, entries(3), snapshot)])
                 done = True
             except SyncFailedError:
                 done = False
             store.close()
-            steps["left"] = 1000
+            syncs["left"] = 1000
             found = reopen(path)
             if found.snapshot is None:
                 assert not done
@@ -178,18 +173,16 @@
 
 
 class TestFailures:
-    """Disks that are full or fail to sync."""
+    """Full disks and failed syncs."""
 
     @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
-    def test_nothing_counts_as_durable_after_a_failed_sync(
+    def test_writes_are_rejected_after_a_failed_sync(
         self, tmp_path, monkeypatch, code
     ):
-        """A sync that fails once and then seems to work.
+        """Guards against losing an acknowledged entry after a failed sync.
 
-        Symptom: an acknowledged entry is missing after a crash.
-        Sequence: a sync fails; the kernel drops the data; the next sync
-        succeeds, since nothing is left to write.
-        Cause: writing goes on after the failure.
+        A sync fails and the kernel drops the data. The next sync succeeds, as
+        nothing is left to write, so the store must reject further writes.
         """
         store = open_store(tmp_path)
         store.recover()
@@ -207,7 +200,7 @@
 
 
 class TestFolder:
-    """Whose folder it is."""
+    """Lock, owner, format and identity of a folder."""
 
     def test_two_processes_on_one_folder(self, tmp_path):
         first = DataFolder(tmp_path, "c1")
@@ -221,7 +214,7 @@
         with pytest.raises(FolderMismatchError, match="belongs to c1"):
             DataFolder(tmp_path, "c2")
 
-    def test_newer_format(self, tmp_path):
+    def test_unknown_format(self, tmp_path):
         DataFolder(tmp_path, "c1").close()
         file = tmp_path / "FORMAT.json"
         text = file.read_text().replace(
@@ -240,7 +233,7 @@
 
 
 class TestBounds:
-    """Restart time and folder size stay bounded over many changes."""
+    """The size of the folder stays bounded over many changes."""
 
     def test_folder_after_500_changes_with_snapshots(self, tmp_path):
         store = open_store(tmp_path)
--- a/tests/test_util/__init__.py
+++ b/tests/test_util/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of ``greengagemoor.util``."""
--- a/tests/test_util/test_difference.py
+++ b/tests/test_util/test_difference.py
@@ -1,4 +1,4 @@
-"""Texts packed against other texts."""
+"""Compression of texts against other texts."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         new = TEXT[:at] + put + TEXT[at + cut :]
         assert difference.unpack(TEXT, difference.pack(TEXT, new)) == new
 
-    def test_small_edits_are_small(self):
+    def test_small_edits_give_short_differences(self):
         new = TEXT[:7] + b"another" + TEXT[9:150_000] + TEXT[150_100:]
         whole = len(difference.pack(b"", new))
         assert len(difference.pack(TEXT, new)) < whole / 8
@@ -41,7 +41,7 @@
 
     PACKED = difference.pack(TEXT[:50_000], TEXT[10:50_010])
 
-    def test_against_another_text(self):
+    def test_unpack_against_another_text(self):
         with pytest.raises(ValueError):
             difference.unpack(TEXT[:49_999], self.PACKED)
 
--- a/tests/test_util/test_fingerprints.py
+++ b/tests/test_util/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""Which request it is."""
+"""Fingerprints of requests."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class TestFingerprint:
-    """Equal for the same request only."""
+    """Fingerprints are equal for equal requests only."""
 
-    def test_same_request_anywhere(self):
-        """It is compared between processes and over restarts."""
-        shown = fingerprint(*REQUEST).hex()
-        assert shown == "c4e01c2453682e0c05907f19bf2a5763"
+    def test_value_is_stable(self):
+        """Fingerprints are compared across processes and restarts."""
+        digest = fingerprint(*REQUEST).hex()
+        assert digest == "c4e01c2453682e0c05907f19bf2a5763"
         assert len(fingerprint(*REQUEST)) == FINGERPRINT_BYTES
 
-    def test_each_part_counts(self):
+    def test_each_part_matters(self):
         others = {
             fingerprint(*REQUEST[:i], part + b"x", *REQUEST[i + 1 :])
             for i, part in enumerate(REQUEST)
--- a/tests/test_util/test_lines.py
+++ b/tests/test_util/test_lines.py
@@ -1,4 +1,4 @@
-"""Log lines: bounded, and never waited for."""
+"""Log lines: bounded and written without blocking."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def drain(reader, lines):
-    """Flushes and reads until nothing more comes."""
+    """Flushes and reads until the pipe is empty."""
     seen = b""
     while True:
         lines.flush()
@@ -31,23 +31,23 @@
 
 
 class TestBlockedReader:
-    """A reader that stops reading costs lines, not time.
+    """A reader that stops reading loses lines but does not block the writer.
 
-    Symptom: an entry answered nothing any more while its machine was idle.
-    Sequence: the log's reader hangs, the pipe fills, the next line blocks.
+    Guards against an entry that stops answering on an idle machine: the log's
+    reader hangs, the pipe fills and writing the next line blocks.
     """
 
-    def test_writes_go_on_and_losses_are_told(self, pipe):
+    def test_writes_do_not_block_and_drops_are_reported(self, pipe):
         reader, descriptor = pipe
         lines = LineWriter(descriptor, "e1")
-        number = 3 * MAX_QUEUED_LINES
-        for _ in range(number):
+        total = 3 * MAX_QUEUED_LINES
+        for _ in range(total):
             lines.write("INFO", "event=x text=" + 100 * "y")
             lines.flush()
         assert lines.dropped > 0
         seen = drain(reader, lines)
         kept = seen.count(b"event=x")
-        assert kept + lines.dropped == number
+        assert kept + lines.dropped == total
         assert f"number={lines.dropped}".encode() in seen
 
     def test_line_stays_whole_over_partial_writes(self, pipe):
@@ -59,13 +59,13 @@
         assert [x.count(b"event=") for x in seen.splitlines()] == [1] * 500
 
 
-class TestBudget:
-    """Lines a second, with a burst."""
+class TestLineBudget:
+    """Sustained rate and burst."""
 
     def test_burst_then_rate(self):
         budget = LineBudget(per_s=10.0, burst=5.0)
-        now = [budget.take(100.0) for _ in range(8)]
-        assert now == [True] * 5 + [False] * 3
+        results = [budget.take(100.0) for _ in range(8)]
+        assert results == [True] * 5 + [False] * 3
         assert budget.take(100.2)
         assert budget.take_dropped() == 3
         assert budget.take_dropped() == 0
--- a/tests/test_wire/__init__.py
+++ b/tests/test_wire/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the wire format between processes."""
+"""Tests of the wire format between instances."""
--- a/tests/test_wire/test_codec.py
+++ b/tests/test_wire/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages to protobuf and back."""
+"""Conversion of messages to protobuf and back."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 )
 
 
-def carried(*rows):
-    """Returns rows as another process gets them."""
+def round_trip(*rows):
+    """Returns rows as another instance receives them."""
     data = codec.to_batch("c1", "", [SearcherRows(1, True, rows)])
     batch = pb.Batch.FromString(data.SerializeToString())
     (payload,) = codec.from_batch(batch)
     return payload.rows
 
 
-class TestRowsToldBySeveral:
-    """Each control instance tells a starting entry the same rows."""
+class TestRowsFromSeveralInstances:
+    """A starting entry receives the same rows from each control instance."""
 
-    def test_are_built_once(self):
-        """After a loss of power 200 entries built 320 rows nine times each.
+    def test_equal_rows_are_built_once(self):
+        """Guards against a slow start of entries after a power loss.
 
-        Callers wait for the first entries meanwhile: nine tables took 33 ms
-        of processor time beside load, 29 of them for rows that were known.
+        200 entries built 320 rows nine times each while callers waited: 33 ms
+        of processor time under load, 29 ms of them for rows already built.
         """
-        (first,), (again,) = carried(ROW), carried(ROW)
-        assert again is first
+        (first,), (second,) = round_trip(ROW), round_trip(ROW)
+        assert second is first
         assert first == ROW
 
-    def test_another_word_is_another_row(self):
+    def test_changed_row_is_another_row(self):
         rows = [
             attrs.evolve(ROW, **change)
             for change in (
@@ -49,4 +49,4 @@
                 {},
             )
         ]
-        assert list(carried(*rows)) == rows
+        assert list(round_trip(*rows)) == rows
