--- a/greengagemoor/aio/connection.py
+++ b/greengagemoor/aio/connection.py
@@ -45,7 +45,7 @@
         self._idle_since = self._loop.time()
         self._keep_alive: deque[bool] = deque()
         self._closing = False
-        self._is_rejected = False
+        self._input_rejected = False
         self._request_count = 0
         self._reset_message()
 
@@ -73,7 +73,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Feeds the parser; rejects what it can't parse."""
-        if self._is_rejected or self._closing:
+        if self._input_rejected or self._closing:
             return
         if self._started_at is None:
             self._started_at = self._loop.time()
@@ -182,7 +182,7 @@
             return
         self._current = None
         keep = self._keep_alive.popleft() and not close
-        keep = keep and not self._limits.closing and not self._is_rejected
+        keep = keep and not self._limits.closing and not self._input_rejected
         self._write(status, headers, body, keep=keep, head=req.method == "HEAD")
         self._idle_since = self._loop.time()
         if not keep:
@@ -214,8 +214,8 @@
         return b"keep-alive" if keep else b"close"
 
     def _reject(self, status: int) -> None:
-        """Stops reading; sends an error unless a request is in progress."""
-        self._is_rejected = True
+        """Ignores further input; sends an error unless a request is running."""
+        self._input_rejected = True
         if self._current is None and not self._closing:
             self._write(status, (), b"", keep=False)
             self.close()
