--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -404,7 +404,7 @@
     Mutant(
         "founding: kept with the folder",
         "serving/durable.py",
-        "if told is not None and folder.is_new:",
+        "if configured is not None and folder.is_new:",
         "if False:",
         ("tests/test_serving/test_durable.py",),
     ),
--- a/greengagemoor/serving/__init__.py
+++ b/greengagemoor/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Event-loop programs: an entry and a control instance."""
+"""Entry and control instances on the event loop."""
--- a/greengagemoor/serving/beliefs.py
+++ b/greengagemoor/serving/beliefs.py
@@ -1,4 +1,4 @@
-"""What a process believes of others, for logs and metrics."""
+"""Log lines for roles, documents, searchers and suspect requests."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
     from greengagemoor.control.evacuations import Evacuation
     from greengagemoor.serving.dialect import CallerWords
 
-STANDINGS_PER_S = 5.0
-STANDINGS_BURST = 50.0
+STANDING_LINES_PER_S = 5.0
+STANDING_LINES_BURST = 50.0
 
 
 class Beliefs:
-    """Logs each change of role and document, and keeps what was told last."""
+    """Logs changes of a control instance's role and document."""
 
     def __init__(self):
         self._decider: ControlDecider | None = None
         self._role: tuple[str, int, str] = ("", 0, "")
-        self._number = 0
+        self._document_number = 0
 
     def note(self, decider: ControlDecider) -> None:
-        """Looks at the member after a tick; logs what has changed."""
+        """Logs the role and the document if the last tick changed them."""
         self._decider = decider
         state = decider.state
         role = (state.role.value, state.term, state.leader_instance)
@@ -37,34 +37,34 @@
             self._role = role
             log.event("role", role=role[0], term=role[1], leader=role[2])
         number = state.machine.numbered.number
-        if number != self._number:
-            self._number = number
+        if number != self._document_number:
+            self._document_number = number
             log.event("document", version=number)
 
     def gauges(self) -> dict[str, float]:
-        """Returns numbers of the moment, for metrics."""
+        """Returns the current gauges, by name."""
         group = self._decider.status().gauges() if self._decider else {}
         return {
             **group,
             "leads": float(self._role[0] == "leader"),
             "term": self._role[1],
-            "document_version": self._number,
+            "document_version": self._document_number,
         }
 
 
 def tell(msg: object, document: int) -> None:
-    """Logs what an entry has learnt.
+    """Logs a change that an entry's decider reports.
 
     Args:
-        msg: what its decider says.
-        document: number of the document in force there.
+        msg: output message of the decider.
+        document: number of the document in force at the entry.
     """
     if isinstance(msg, feed.SearcherLearnt):
-        _tell_searcher(msg.row)
+        _log_searcher(msg.row)
     elif isinstance(msg, feed.SlowSearchers):
-        _tell_slow(msg)
+        _log_slow(msg)
     elif isinstance(msg, feed.DifferenceRefused):
-        _tell_refused(msg)
+        _log_rejected_difference(msg)
     elif isinstance(msg, feed.EvacuationsLearnt):
         tell_evacuations(msg.rows)
     elif isinstance(msg, feed.ReadyChanged):
@@ -72,7 +72,7 @@
 
 
 def tell_evacuations(rows: Iterable[Evacuation]) -> None:
-    """Tells which data centres are evacuated from now on, or no more."""
+    """Logs which evacuations of data centres begin or end."""
     for row in rows:
         log.event(
             "evacuation",
@@ -83,53 +83,53 @@
 
 
 class StandingLog:
-    """Tells what a process thinks of requests, within a budget of lines.
+    """Logs changes in the standing of requests, within a budget of lines.
 
-    A crash of many searchers makes hundreds suspect at the same moment, and
-    each entry hears of all of them.
+    A crash of many searchers makes hundreds of requests suspect at once, and
+    each entry receives all of these changes.
     """
 
     def __init__(self):
-        self._budget = LineBudget(STANDINGS_PER_S, STANDINGS_BURST)
+        self._budget = LineBudget(STANDING_LINES_PER_S, STANDING_LINES_BURST)
 
     def note(self, now: float, row: feed.Suspect) -> None:
-        """Tells one, and how many were left out since the last one."""
+        """Logs one change, and how many were left out since the last line."""
         if self._budget.take(now):
-            _tell_standing(row, self._budget.take_dropped())
+            _log_standing(row, self._budget.take_dropped())
 
 
-def _tell_standing(row: feed.Suspect, dropped: int) -> None:
+def _log_standing(row: feed.Suspect, dropped: int) -> None:
     standing = standing_of(row)
-    is_free = standing is Standing.WATCHED
+    is_cleared = standing is Standing.WATCHED
     log.event(
         "request_standing",
-        level="INFO" if is_free else "WARNING",
+        level="INFO" if is_cleared else "WARNING",
         digest=row.fingerprint.hex(),
         route=row.route,
-        standing="cleared" if is_free else standing.value,
+        standing="cleared" if is_cleared else standing.value,
         epoch=row.epoch,
-        searcher=_starts((*row.ended, *row.failed)),
+        searcher=_format_keys((*row.ended, *row.failed)),
         left_out=dropped,
     )
 
 
-def _starts(keys: Iterable[feed.SearcherKey]) -> str:
+def _format_keys(keys: Iterable[feed.SearcherKey]) -> str:
     return ",".join(f"{key.searcher_id}@{key.start}" for key in keys)
 
 
-def tell_no_route(words: CallerWords, path: str, document: int) -> None:
-    """Tells that no route of the document allows a request."""
+def tell_no_route(info: CallerWords, path: str, document: int) -> None:
+    """Logs that no route of the document matches a request."""
     log.event(
         "no_route",
-        request_id=words.request_id,
-        host=words.host,
+        request_id=info.request_id,
+        host=info.host,
         path=path,
         document=document,
     )
 
 
-def _tell_searcher(row: feed.SearcherRow) -> None:
-    """Tells what an entry believes of a searcher from now on."""
+def _log_searcher(row: feed.SearcherRow) -> None:
+    """Logs the new state of a searcher at an entry."""
     log.event(
         "searcher",
         id=row.searcher_id,
@@ -141,14 +141,14 @@
     )
 
 
-def _tell_slow(msg: feed.SlowSearchers) -> None:
-    """Tells which searchers an entry leaves alone for a while."""
+def _log_slow(msg: feed.SlowSearchers) -> None:
+    """Logs which slow searchers an entry avoids, and for how long."""
     ids = ",".join(key.searcher_id for key in msg.searchers)
     log.event("searcher_slow", searcher=ids, for_s=msg.for_s)
 
 
-def _tell_refused(msg: feed.DifferenceRefused) -> None:
-    """Tells that a document has to be fetched whole, and why."""
+def _log_rejected_difference(msg: feed.DifferenceRefused) -> None:
+    """Logs why a difference is rejected; the whole document is fetched."""
     log.event(
         "difference_refused",
         level="WARNING",
--- a/greengagemoor/serving/control.py
+++ b/greengagemoor/serving/control.py
@@ -42,13 +42,13 @@
 
 HEARTBEAT_S = 0.15
 ELECTION_S = 0.6
-"""Four heartbeats; a dead leader is replaced within two seconds."""
+"""Four heartbeats; a failed leader is replaced within two seconds."""
 JOIN_S = 0.25
-"""How often a control instance outside the group asks to be taken in."""
+"""Interval of the join requests of a control instance outside the group."""
 
 
 class ControlApp:
-    """Wires the parts of one control instance."""
+    """Connects the parts of one control instance."""
 
     def __init__(self, cfg: ServingSettings, dialect: Dialect):
         self.cfg = cfg
@@ -65,11 +65,11 @@
             self._ticker.put_threadsafe,
             cfg.other_seeds if cfg.founds else None,
         )
-        self._keeper = Keeper(self._hub, self._durable)
+        self._hub_store = Keeper(self._hub, self._durable)
         self._decider: ControlDecider | None = None
-        self._beliefs = Beliefs()
+        self._state_log = Beliefs()
         self._standing_log = StandingLog()
-        self._followed: dict | None = None
+        self._linked_members: dict | None = None
         self._contacts: dict[str, str] = {}
         self._calls = OpenCalls()
         self._operators = OperatorCalls(
@@ -91,19 +91,19 @@
             )
 
     async def start(self) -> None:
-        """Listens, then recovers durable state."""
+        """Starts the listeners, then recovers the durable state."""
         await self._links.start()
         self._links.want(set(self.cfg.seeds))
         for server in self._servers:
             await server.start()
         await self._recover()
-        self._keeping = asyncio.create_task(self._keeper.run())
+        self._store_task = asyncio.create_task(self._hub_store.run())
 
     async def _recover(self) -> None:
-        """Opens the data folder and starts the member that it belongs to."""
+        """Opens the data folder and starts the group member stored there."""
         opened = await self._durable.open()
         now = self.clock.now()
-        self._keeper.restore(now)
+        self._hub_store.restore(now)
         self._decider = ControlDecider(
             opened.member_id,
             self.cfg.peer_address,
@@ -121,23 +121,23 @@
         self._ticker.put(opened.recovered)
 
     def reload(self, cfg: ServingSettings) -> None:
-        """Takes in changed settings, and dials the seeds that they name."""
+        """Applies changed settings and connects to their seeds."""
         self.cfg = self._operators.cfg = cfg
         self._links.want({*cfg.seeds, *self._contacts.values()})
         self._ticker.put(SeedsChanged(cfg.other_seeds))
 
     async def stop(self) -> None:
-        """Ends after what was handed to the disk is synced."""
-        self._keeping.cancel()
+        """Stops accepting; returns once all queued disk writes are synced."""
+        self._store_task.cancel()
         for server in self._servers:
             server.stop_accepting()
             server.close_idle()
         await self._durable.close()
 
-    # Calls from outside.
+    # Incoming calls.
 
     def take(self, req: HttpRequest) -> None:
-        """Takes an operator's, a searcher's or a caller's call."""
+        """Handles a call of an operator, a searcher or a caller."""
         try:
             call = self._dialect.read_call(req)
         except InvalidInputError as exc:
@@ -164,7 +164,7 @@
             opencalls.answer(req, self._dialect.write_unknown_call())
 
     def gone(self, req: HttpRequest) -> None:
-        """Forgets a caller that left; what it asked for goes on."""
+        """Discards a call whose connection closed; its operation continues."""
         self._calls.forget(req)
 
     # Ticks.
@@ -185,10 +185,10 @@
     def _step(self, now: float, batch: list, inbox: deque) -> None:
         out = []
         if self._decider is not None:
-            mine = [msg for msg in batch if inboxes.is_for_decider(msg)]
-            out += self._decider.step(now, mine)
-            self._follow_members()
-            self._beliefs.note(self._decider)
+            member_msgs = [msg for msg in batch if inboxes.is_for_decider(msg)]
+            out += self._decider.step(now, member_msgs)
+            self._update_members()
+            self._state_log.note(self._decider)
         out += self._hub.step(now, filter(inboxes.is_for_hub, batch))
         out += self._client.step(now, filter(inboxes.is_for_client, batch))
         for msg in batch:
@@ -203,7 +203,7 @@
         elif isinstance(msg, control.Persist):
             self._durable.write(msg)
         elif isinstance(msg, control.NumberedAccepted):
-            self._note_services(msg)
+            self._update_services(msg)
             inbox.append(msg)
         elif isinstance(msg, control.EvacuationsAccepted):
             inbox.append(msg)
@@ -225,27 +225,28 @@
         else:
             self._links.send(msg)
 
-    def _note_services(self, msg: control.NumberedAccepted) -> None:
-        """Tells the hub which services the document in force names."""
+    def _update_services(self, msg: control.NumberedAccepted) -> None:
+        """Passes the services of the document in force to the hub."""
         try:
             table = self._dialect.read_document(zlib.decompress(msg.packed))
         except DocumentError as exc:
-            # It was checked before it was accepted: another release did that.
+            # Documents are validated before they are accepted; this one was
+            # validated by an instance of another release.
             log.event("document_unreadable", level="ERROR", reason=exc)
             return
         self._hub.set_services(frozenset(table.services))
 
-    def _follow_members(self) -> None:
-        """Links to all members, and tells entries of them.
+    def _update_members(self) -> None:
+        """Connects to all members and passes their addresses to the hub.
 
-        Outside a group also to whoever may know one: operators' calls are
-        passed on to its leader, wherever it is.
+        An instance outside the group also connects to all instances that may
+        know of a group, to forward operators' calls to its leader.
         """
         state = self._decider.state
         outside = self._decider.is_outside
-        if state.members is self._followed and not outside:
+        if state.members is self._linked_members and not outside:
             return
-        self._followed = None if outside else state.members
+        self._linked_members = None if outside else state.members
         self._contacts = self._decider.contacts()
         self._links.want({*self.cfg.seeds, *self._contacts.values()})
         addresses = {m.address for m in state.members.values()}
@@ -257,7 +258,7 @@
     def _gauges(self) -> dict[str, float]:
         return {
             **self._hub.gauges(),
-            **self._beliefs.gauges(),
+            **self._state_log.gauges(),
             "links": len(self._links.open),
             "link_bytes_sent_total": self._links.sent_bytes,
             "bad_calls_total": self._bad_calls.total,
@@ -266,10 +267,11 @@
         }
 
     def _restart_member(self) -> None:
-        """Starts over from what is durable, once the disk works again.
+        """Restarts the member from its durable state once the disk works.
 
-        After a failed write nobody knows what the disk holds. A member that
-        stayed silent for ever would be one loss fewer to bear.
+        After a failed write the content of the disk is unknown. A member that
+        stayed silent would reduce the number of failures that the group
+        tolerates by one.
         """
         log.event("member_restarts", level="ERROR")
         self._decider = self._operators.decider = None
--- a/greengagemoor/serving/dialect.py
+++ b/greengagemoor/serving/dialect.py
@@ -1,6 +1,6 @@
-"""What an event-loop process needs to speak with callers and searchers.
+"""Interface to the formats of callers, searchers and operators.
 
-An adapter implements these; it translates and decides nothing.
+An adapter implements it; the adapter only translates and takes no decisions.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @values.frozen
 class Reply:
-    """An HTTP answer of ours."""
+    """An HTTP answer of this process."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...] = ()
@@ -28,10 +28,11 @@
 
 @values.frozen
 class CallerWords:
-    """What a caller's request says of itself.
+    """Host, id, deadline and client account of a caller's request.
 
     Attributes:
-        account: the client account, "" where requests name none.
+        patience_s: time until the caller gives up, None if it isn't given.
+        account: the client account, "" if the request names none.
     """
 
     host: str
@@ -42,7 +43,7 @@
 
 @values.frozen
 class SearcherWords:
-    """What a searcher's answer says."""
+    """Outcome of an attempt, as read from a searcher's answer."""
 
     outcome: Outcome
     answer: SearcherAnswer | None
@@ -58,10 +59,11 @@
 
 @values.frozen
 class LeaveCall:
-    """A searcher ends.
+    """A searcher announces that it ends.
 
     Attributes:
-        start: which start of it says so; None if it doesn't say.
+        start: when it started, in Unix ms of its own clock; None if the call
+            doesn't name it.
     """
 
     searcher_id: str
@@ -82,10 +84,10 @@
 
 @values.frozen
 class EvacuateCall:
-    """An operator evacuates a data centre, or takes that back.
+    """An operator evacuates a data centre, or ends its evacuation.
 
     Attributes:
-        active: whether its searchers are to get nothing.
+        active: whether requests are kept from its searchers.
     """
 
     data_centre: str
@@ -94,7 +96,7 @@
 
 @values.frozen
 class FindEntriesCall:
-    """A caller asks where to connect."""
+    """A caller asks for addresses of entries."""
 
     data_centre: str
 
@@ -110,7 +112,7 @@
 
 
 class Dialect(Protocol):
-    """Names, formats and calls of one deployment's world."""
+    """Names, formats and calls of one platform."""
 
     def read_document(self, text: bytes) -> RouteTable:
         """Decodes a document.
@@ -120,7 +122,7 @@
         """
 
     def read_request(self, req: HttpRequest) -> CallerWords:
-        """Reads what a request says of itself."""
+        """Reads host, id, deadline and account of a caller's request."""
 
     def write_attempt(
         self, req: HttpRequest, searcher_id: str, left_s: float
@@ -128,7 +130,7 @@
         """Returns the bytes of a request to a searcher."""
 
     def is_answer_to(self, request_id: str, headers: Headers) -> bool:
-        """Tells by its headers whether an answer is to this request."""
+        """Returns whether an answer with these headers is to this request."""
 
     def read_answer(self, answer: HttpAnswer) -> SearcherWords:
         """Reads a searcher's answer."""
@@ -137,38 +139,38 @@
         """Returns the final answer to a caller."""
 
     def write_no_document(self) -> Reply:
-        """Answers a request that came before any document."""
+        """Answers a request that arrived before any document."""
 
     def write_no_route(self) -> Reply:
-        """Answers a request that no route allows."""
+        """Answers a request that no route matches."""
 
     def write_ready(self, ready: bool) -> Reply:
-        """Answers whether this process may be given to callers."""
+        """Answers a readiness check."""
 
     def read_call(self, req: HttpRequest) -> Call | None:
-        """Reads a call to a control instance; None if there is none such.
+        """Reads a call to a control instance; None if it is unknown.
 
         Raises:
             InvalidInputError: the call is malformed.
         """
 
-    def write_announced(self, again_at: str) -> Reply:
-        """Acknowledges an announcement; later ones go to ``again_at``."""
+    def write_announced(self, next_address: str) -> Reply:
+        """Acknowledges an announcement; later ones go to ``next_address``."""
 
     def write_unheard(self) -> Reply:
-        """Refuses an announcement here; other instances may take it."""
+        """Rejects an announcement; another instance may accept it."""
 
     def write_put(self, accepted: bool, faults: str = "") -> Reply:
-        """Answers a put: accepted, or refused for its faults, or unknown."""
+        """Answers a put: accepted, rejected for its faults, or unknown."""
 
     def write_evacuated(self, accepted: bool, fault: str = "") -> Reply:
-        """Answers an evacuation: accepted, refused for a fault, or unknown."""
+        """Answers an evacuation: accepted, rejected for a fault, or unknown."""
 
     def write_document(self, text: bytes | None) -> Reply:
-        """Answers a read; None if it isn't sure what is in force."""
+        """Answers a read; None if the document in force isn't confirmed."""
 
     def write_entries(self, entries: list[Subscribe]) -> Reply:
-        """Answers where to connect."""
+        """Answers with the addresses of entries."""
 
     def write_unknown_call(self) -> Reply:
-        """Answers a call that doesn't exist or is malformed."""
+        """Answers an unknown or malformed call."""
--- a/greengagemoor/serving/durable.py
+++ b/greengagemoor/serving/durable.py
@@ -1,4 +1,4 @@
-"""The data folder of a control instance, opened again after each failure."""
+"""The data folder of a control instance, reopened after each failure."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     from greengagemoor.control.messages import Persist, Recovered
     from greengagemoor.feed.messages import SearcherRow, Suspect
 
-OPEN_AGAIN_S = 0.5
+REOPEN_DELAY_S = 0.5
 OWN_ROWS = "searchers.bin"
 OTHER_ROWS = "searchers-of-others.bin"
 ENTRIES = "entries.bin"
@@ -44,10 +44,11 @@
     """An open data folder.
 
     Attributes:
-        member_id: the member that the folder stands for.
-        recovered: what it holds.
-        founders: peer addresses, by instance, of those with which this member
-            was told to found a group when its folder was made; else None.
+        member_id: the group member whose state the folder holds.
+        recovered: the state read from the folder.
+        founders: peer addresses, by instance, of the instances with which this
+            member may found a group, as the settings named them when its
+            folder was created; else None.
     """
 
     member_id: str
@@ -65,14 +66,14 @@
         put: Callable[[object], None],
         founders: dict[str, str] | None = None,
     ):
-        """Prepares; ``open`` touches the disk.
+        """Does not access the disk; ``open`` does.
 
         Args:
             path: the data folder.
             owner: the instance that it belongs to.
-            put: takes ``Persisted`` and ``PersistFailed``, from any thread.
-            founders: with whom the settings say to found a group; a folder
-                that is made now keeps them.
+            put: receives ``Persisted`` and ``PersistFailed``, from any thread.
+            founders: addresses, by instance, of those with which the settings
+                say to found a group; stored if the folder is new.
         """
         self._path = Path(path)
         self._owner = owner
@@ -82,7 +83,7 @@
         self._folder: DataFolder | None = None
 
     async def open(self) -> Opened:
-        """Opens the folder; tries until the disk takes writes."""
+        """Opens the folder; retries until the disk accepts writes."""
         await self.close()
         loop = asyncio.get_running_loop()
         while True:
@@ -91,16 +92,17 @@
             except OSError as exc:
                 log.event("disk_unusable", level="ERROR", reason=exc)
             except (CorruptRecordError, FolderMismatchError) as exc:
-                # Under its old identity the member could vote without what
-                # it has promised; from an empty folder it joins as another.
+                # With its old identity the member could vote contrary to
+                # promises that it has lost; with an empty folder it joins
+                # under a new identity.
                 log.event("disk_damaged", level="ERROR", reason=exc)
-                await loop.run_in_executor(None, self._empty)
-            await asyncio.sleep(OPEN_AGAIN_S)
+                await loop.run_in_executor(None, self._delete_files)
+            await asyncio.sleep(REOPEN_DELAY_S)
 
     def _open(self) -> Opened:
         folder = DataFolder(self._path, self._owner)
         try:
-            founders = self._keep_founders(folder)
+            founders = self._store_founders(folder)
             store = Store(folder)
             recovered = store.recover()
         except Exception:
@@ -113,16 +115,17 @@
         log.event("disk_open", member=member_id, entries=len(recovered.entries))
         return Opened(member_id, recovered, founders)
 
-    def _keep_founders(self, folder: DataFolder) -> dict[str, str] | None:
-        """Keeps in a new folder that it may found, as long as it lasts.
+    def _store_founders(self, folder: DataFolder) -> dict[str, str] | None:
+        """Stores the founders in a new folder; returns the stored ones.
 
-        Settings say so at the first start only. If the first founder loses
-        its disk and all are killed before the group stands, nobody would
-        know any more that somebody may found.
+        They are kept as long as the folder, since the settings name them at
+        the first start only. Otherwise no instance could found the group if
+        the first founder loses its disk and all instances are killed before
+        the group exists.
         """
-        told, self._founders = self._founders, None
-        if told is not None and folder.is_new:
-            folder.write_whole(FOUNDERS, json.dumps(told).encode())
+        configured, self._founders = self._founders, None
+        if configured is not None and folder.is_new:
+            folder.write_whole(FOUNDERS, json.dumps(configured).encode())
         path = self._path / FOUNDERS
         if not path.exists():
             return None
@@ -131,20 +134,20 @@
         except ValueError as exc:
             raise CorruptRecordError(f"{FOUNDERS}: {exc}") from exc
 
-    def _empty(self) -> None:
+    def _delete_files(self) -> None:
         for path in self._path.iterdir():
             path.unlink()
 
     def write(self, operation: Persist) -> None:
-        """Hands an operation to the disk's thread."""
+        """Queues an operation for the disk thread."""
         if self._writer is not None:
             self._writer.write(operation)
 
-    async def keep(self, name: str, kept: _Kept) -> None:
-        """Replaces what is kept for a restart; a failure costs only that."""
+    async def keep(self, name: str, content: _Kept) -> None:
+        """Replaces a file that is read after a restart; logs a failure."""
         if self._folder is None:
             return
-        data = codec.encode(kept)
+        data = codec.encode(content)
         loop = asyncio.get_running_loop()
         try:
             await loop.run_in_executor(
@@ -154,21 +157,21 @@
             log.event("rows_not_kept", level="WARNING", reason=exc)
 
     def kept_rows(self, name: str) -> tuple[SearcherRow, ...]:
-        """Returns the rows of searchers that were kept, if they are whole."""
-        kept = self._read_kept(name, SearcherRows)
-        return kept.rows if kept is not None else ()
+        """Returns the stored rows of searchers; () if missing or damaged."""
+        stored = self._read_stored(name, SearcherRows)
+        return stored.rows if stored is not None else ()
 
     def kept_entries(self) -> int:
-        """Returns how many entries there were; 0 if that isn't known."""
-        kept = self._read_kept(ENTRIES, KnownPeers)
-        return kept.entries if kept is not None else 0
+        """Returns the stored number of entries; 0 if missing or damaged."""
+        stored = self._read_stored(ENTRIES, KnownPeers)
+        return stored.entries if stored is not None else 0
 
     def kept_suspects(self) -> tuple[Suspect, ...]:
-        """Returns the requests under which searchers have ended."""
-        kept = self._read_kept(SUSPECTS, SuspectRows)
-        return kept.rows if kept is not None else ()
+        """Returns the stored rows of suspect requests."""
+        stored = self._read_stored(SUSPECTS, SuspectRows)
+        return stored.rows if stored is not None else ()
 
-    def _read_kept(self, name: str, cls: type[_Kept]) -> _Kept | None:
+    def _read_stored(self, name: str, cls: type[_Kept]) -> _Kept | None:
         path = self._path / name
         try:
             return codec.decode(path.read_bytes(), cls)
@@ -179,7 +182,7 @@
             return None
 
     async def close(self) -> None:
-        """Ends once all that was handed over is synced."""
+        """Closes the folder once all queued writes are synced."""
         writer, self._writer = self._writer, None
         self._folder = None
         if writer is not None:
--- a/greengagemoor/serving/entry.py
+++ b/greengagemoor/serving/entry.py
@@ -1,4 +1,4 @@
-"""An entry on the event loop: takes callers' requests, asks searchers."""
+"""An entry on the event loop: serves callers and queries searchers."""
 
 from __future__ import annotations
 
@@ -52,16 +52,16 @@
     from greengagemoor.serving.settings import ServingSettings
 
 ALLOWANCE_SHARE = 0.85
-"""Share of the allowed second sends that is used: a stall on the way moves
-requests and their repeats into different windows."""
-SWEEP_S = 1.0
+"""Share of the allowed second sends that is used. The rest is a margin: a stall
+of the network moves requests and their repeats into different windows."""
+SWEEP_INTERVAL_S = 1.0
 KEEP_SERVING_SHARE = 0.6
-"""Share of the grace time in which a leaving entry still takes requests."""
-IDLE_LOOK_S = 0.02
+"""Share of the grace time in which a leaving entry still accepts requests."""
+IDLE_CHECK_INTERVAL_S = 0.02
 
 
 class EntryApp:
-    """Wires the parts of one entry."""
+    """Connects the parts of one entry."""
 
     def __init__(
         self,
@@ -69,12 +69,12 @@
         dialect: Dialect,
         listener: socket.socket | None = None,
     ):
-        """Prepares; ``start`` serves.
+        """Does not listen yet; ``start`` does.
 
         Args:
             cfg: settings.
-            dialect: how callers and searchers speak.
-            listener: listens on the callers' address already.
+            dialect: formats of callers and searchers.
+            listener: a socket that already listens on the callers' address.
         """
         self.cfg = cfg
         self._listener = listener
@@ -86,24 +86,24 @@
             retry_window_s=cfg.retry_window_s,
         )
         self._dialect = dialect
-        me = feed.Subscribe(
+        own_row = feed.Subscribe(
             cfg.instance,
             cfg.caller_address,
             cfg.data_centre,
             ready=False,
             peer_address=cfg.peer_address,
         )
-        self._decider = EntryDecider(me, rng, policy)
+        self._decider = EntryDecider(own_row, rng, policy)
         self._view = self._decider.view
         self._forward = self._decider.forward
         self._forward.tables.link_bytes_per_s = cfg.link_bytes_per_s
-        self._table: routes.RouteTable | None = None
+        self._route_table: routes.RouteTable | None = None
         self._ticker = Ticker(self.clock, self._tick)
         self._links = Links(cfg.instance, "", self._ticker.put)
         self._pool = Pool()
         self._limits = Limits()
         self._callers = HttpServer(cfg.caller_address, self, self._limits)
-        self._dialled: tuple[str, ...] = ()
+        self._dialled_peers: tuple[str, ...] = ()
         self._tokens = count(1)
         self._requests: dict[int, HttpRequest] = {}
         self._sends: dict[int, Sending] = {}
@@ -121,34 +121,34 @@
 
     @property
     def ready(self) -> bool:
-        """Whether callers may be given this entry."""
+        """Whether callers may be directed to this entry."""
         return self._view.me.ready
 
     async def start(self) -> None:
-        """Listens, and asks the seeds for everything else."""
+        """Starts the listeners and connects to the seeds."""
         await self._links.start()
         await self._peers.start()
-        self._want_links()
+        self._update_links()
         for server in self._servers:
             await server.start()
         await self._callers.start(self._listener)
         self._ticker.tick()
-        asyncio.get_running_loop().call_later(SWEEP_S, self._sweep)
+        asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def reload(self, cfg: ServingSettings) -> None:
-        """Takes in changed settings, and dials the seeds that they name."""
+        """Applies changed settings and connects to their seeds."""
         self.cfg = cfg
-        self._want_links()
+        self._update_links()
 
-    def _want_links(self) -> None:
-        self._dialled = self._view.peers
+    def _update_links(self) -> None:
+        self._dialled_peers = self._view.peers
         self._links.want({*self.cfg.seeds, *self._view.peers})
 
     async def stop(self) -> None:
-        """Leaves without cutting a request.
+        """Stops without aborting a request.
 
-        Leaves the addresses at once, serves on while callers may still hold
-        them, then takes nothing new and finishes what runs.
+        Withdraws its address from callers at once, serves on while they may
+        still use it, then accepts no connections and finishes open requests.
         """
         loop = asyncio.get_running_loop()
         started = loop.time()
@@ -158,23 +158,24 @@
         await asyncio.sleep(KEEP_SERVING_SHARE * self.cfg.grace_s)
         self._callers.stop_accepting()
         while loop.time() < started + 0.9 * self.cfg.grace_s:
-            # One accepted just now is made a turn later, with its request.
+            # A connection accepted just now appears a turn of the loop later,
+            # with its request.
             self._callers.close_idle()
-            await asyncio.sleep(IDLE_LOOK_S)
+            await asyncio.sleep(IDLE_CHECK_INTERVAL_S)
             if self._forward.is_idle and not self._callers.conns:
                 break
 
     # Callers.
 
     def take(self, req: HttpRequest) -> None:
-        """Takes a caller's request."""
-        if self._table is None or not self._view.is_confirmed:
+        """Handles a caller's request."""
+        if self._route_table is None or not self._view.is_confirmed:
             self._reply(req, self._dialect.write_no_document())
             return
-        words = self._dialect.read_request(req)
-        route = self._table.find(words.host, req.path)
+        info = self._dialect.read_request(req)
+        route = self._route_table.find(info.host, req.path)
         if route is None:
-            beliefs.tell_no_route(words, req.path, self._table.version)
+            beliefs.tell_no_route(info, req.path, self._route_table.version)
             self._reply(req, self._dialect.write_no_route())
             return
         req.token = next(self._tokens)
@@ -182,16 +183,16 @@
         self._ticker.put(
             Arrived(
                 req.token,
-                words.request_id,
+                info.request_id,
                 route,
-                words.patience_s,
-                identify(req, words),
+                info.patience_s,
+                identify(req, info),
                 req.way_s,
             )
         )
 
     def gone(self, req: HttpRequest) -> None:
-        """Lets go of a request whose caller left."""
+        """Discards a request whose connection closed."""
         if self._requests.pop(req.token, None) is not None:
             self._ticker.put(CallerGone(req.token))
 
@@ -203,18 +204,19 @@
     def _tick(self, now: float, msgs: list) -> float | None:
         for msg in self._decider.step(now, msgs):
             self._act(msg)
-        if self._view.peers is not self._dialled:
-            self._want_links()
+        if self._view.peers is not self._dialled_peers:
+            self._update_links()
         return self._decider.next_wake()
 
-    def _take_document(self, msg: feed.DocumentLearnt) -> None:
+    def _apply_document(self, msg: feed.DocumentLearnt) -> None:
         try:
             table = self._dialect.read_document(zlib.decompress(msg.packed))
         except DocumentError as exc:
-            # It was checked before it was accepted: another release did that.
+            # Documents are validated before they are accepted; this one was
+            # validated by an instance of another release.
             log.event("document_unreadable", level="ERROR", reason=exc)
             return
-        self._table = table
+        self._route_table = table
         limits = table.limits
         self._limits.header_bytes = limits.header_bytes
         self._limits.body_bytes = limits.body_bytes
@@ -248,7 +250,7 @@
             done = partial(self._probe_done, msg.searcher)
             self._pool.probe(msg.address, done)
         elif isinstance(msg, feed.DocumentLearnt):
-            self._take_document(msg)
+            self._apply_document(msg)
         elif isinstance(msg, feed.StandingChanged):
             self._standing_log.note(self.clock.now(), msg.row)
         else:
@@ -259,31 +261,31 @@
         if req is None:
             self._ticker.put(AttemptEnded(msg.attempt_id, Outcome.NOT_SENT))
             return
-        left = msg.deadline - self.clock.now()
-        data = self._dialect.write_attempt(req, msg.searcher_id, left)
+        left_s = msg.deadline - self.clock.now()
+        data = self._dialect.write_attempt(req, msg.searcher_id, left_s)
         done = partial(self._attempt_done, msg)
-        is_mine = partial(self._dialect.is_answer_to, msg.request_id)
+        is_answer = partial(self._dialect.is_answer_to, msg.request_id)
         self._sends[msg.attempt_id] = self._pool.send(
-            msg.address, data, done, is_mine
+            msg.address, data, done, is_answer
         )
 
     def _attempt_done(
-        self, msg: StartAttempt, end: HttpAnswer | HttpFailure
+        self, msg: StartAttempt, result: HttpAnswer | HttpFailure
     ) -> None:
         self._sends.pop(msg.attempt_id, None)
-        if isinstance(end, HttpFailure):
-            outcome = Outcome.BROKEN if end.sent else Outcome.NOT_SENT
+        if isinstance(result, HttpFailure):
+            outcome = Outcome.BROKEN if result.sent else Outcome.NOT_SENT
             ended = AttemptEnded(
                 msg.attempt_id,
                 outcome,
-                stale=end.stale,
-                reason=end.reason,
-                began=end.began,
+                stale=result.stale,
+                reason=result.reason,
+                began=result.began,
             )
         else:
-            words = self._dialect.read_answer(end)
+            info = self._dialect.read_answer(result)
             ended = AttemptEnded(
-                msg.attempt_id, words.outcome, words.answer, reason=words.reason
+                msg.attempt_id, info.outcome, info.answer, reason=info.reason
             )
         self._ticker.put(ended)
 
@@ -317,4 +319,4 @@
     def _sweep(self) -> None:
         self._pool.sweep()
         self._metrics.fill()
-        asyncio.get_running_loop().call_later(SWEEP_S, self._sweep)
+        asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
--- a/greengagemoor/serving/health.py
+++ b/greengagemoor/serving/health.py
@@ -1,4 +1,4 @@
-"""Whether an entry is ready, for the platform."""
+"""Readiness of an entry, for the platform."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class Health:
-    """Answers the platform's question whether this entry is ready."""
+    """Answers the platform's readiness checks."""
 
     def __init__(self, app: EntryApp, dialect: Dialect):
         self._app = app
         self._dialect = dialect
 
     def take(self, req: HttpRequest) -> None:
-        """Answers at once."""
+        """Answers a check at once."""
         reply = self._dialect.write_ready(self._app.ready)
         req.conn.reply(req, reply.status, reply.headers, reply.body)
 
     def gone(self, req: HttpRequest) -> None:
-        """Nothing runs for it."""
+        """Does nothing: no check is pending."""
--- a/greengagemoor/serving/identity.py
+++ b/greengagemoor/serving/identity.py
@@ -1,4 +1,4 @@
-"""Which request a caller sends, whatever its id."""
+"""Fingerprints of requests, independent of their ids."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
     from greengagemoor.serving.dialect import CallerWords
 
 
-def identify(req: HttpRequest, words: CallerWords) -> bytes:
-    """Returns what is equal for requests that ask for the same."""
+def identify(req: HttpRequest, info: CallerWords) -> bytes:
+    """Returns the same fingerprint for requests that ask for the same."""
     return fingerprint(
-        words.account.encode(),
+        info.account.encode(),
         req.method.encode(),
-        words.host.encode(),
+        info.host.encode(),
         req.target.encode(),
         req.body,
     )
--- a/greengagemoor/serving/inboxes.py
+++ b/greengagemoor/serving/inboxes.py
@@ -1,4 +1,4 @@
-"""Which decider of a control instance a message is for."""
+"""Selects the decider of a control instance that receives a message."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
 
 
 def is_for_decider(msg: object) -> bool:
-    """Whether the control group's member takes it."""
+    """Whether the member of the control group receives the message."""
     if isinstance(msg, control.Received):
         return isinstance(msg.payload, control.MEMBER_PAYLOADS)
     return isinstance(msg, _DECIDER_MESSAGES)
 
 
 def is_for_hub(msg: object) -> bool:
-    """Whether the hub takes it."""
+    """Whether the hub receives the message."""
     if isinstance(msg, control.Received):
         return isinstance(msg.payload, _HUB_PAYLOADS)
     return isinstance(msg, _HUB_MESSAGES)
 
 
 def is_for_client(msg: object) -> bool:
-    """Whether the client of the control group takes it."""
+    """Whether the client of the control group receives the message."""
     if isinstance(msg, control.Received):
         return isinstance(msg.payload, control.OpReply)
     return isinstance(msg, Ask)
--- a/greengagemoor/serving/metrics.py
+++ b/greengagemoor/serving/metrics.py
@@ -15,38 +15,38 @@
     from greengagemoor.aio.requests import HttpRequest
     from greengagemoor.forward.messages import Respond
 
-MOST_SERIES = 24
-"""Routes with a histogram of their own, 20 KB each; documents may have
-hundreds, nearly all idle, and memory is dear."""
-OTHERS = "others"
-LONGEST_US = 60_000_000
-DIGITS = 2
+MAX_SERIES = 24
+"""Routes with a histogram of their own, 20 KB each. Documents may have hundreds
+of routes, nearly all idle; the bound limits memory."""
+OTHER_ROUTES = "others"
+MAX_LATENCY_US = 60_000_000
+SIGNIFICANT_DIGITS = 2
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
-MICROSECONDS = 1_000_000
+US_PER_S = 1_000_000
 PREFIX = "greengagemoor_"
 
 
 class ServingMetrics:
-    """What a process counts; routes beyond the bound share one series."""
+    """Metrics of a process; routes beyond ``MAX_SERIES`` share one series."""
 
     def __init__(self, gauges: Callable[[], dict[str, float]]):
         """Starts at zero.
 
         Args:
-            gauges: returns the numbers of the moment, by name.
+            gauges: returns the current gauges, by name.
         """
         self._gauges = gauges
         self._latency: dict[str, HdrHistogram] = {}
-        self._times: list[tuple[str, int]] = []
-        self._names: set[str] = set()
+        self._pending_times: list[tuple[str, int]] = []
+        self._series_names: set[str] = set()
         self._endings: Counter[tuple[str, str]] = Counter()
         self._totals: Counter[str] = Counter()
 
     def note(self, msg: Respond) -> None:
         """Counts a final answer."""
         series = self._series(msg.route.name)
-        elapsed = max(1, min(int(msg.elapsed_s * MICROSECONDS), LONGEST_US))
-        self._times.append((series, elapsed))
+        elapsed = max(1, min(int(msg.elapsed_s * US_PER_S), MAX_LATENCY_US))
+        self._pending_times.append((series, elapsed))
         self._endings[(series, msg.ending.value)] += 1
         services = len(msg.route.services) if msg.route.gather else 1
         self._totals["sends_total"] += msg.sends
@@ -55,28 +55,30 @@
             self._totals["missing_shards_total"] += msg.merged.missing
 
     def _series(self, route: str) -> str:
-        if len(self._names) < MOST_SERIES:
-            self._names.add(route)
-        return route if route in self._names else OTHERS
+        if len(self._series_names) < MAX_SERIES:
+            self._series_names.add(route)
+        return route if route in self._series_names else OTHER_ROUTES
 
     def fill(self) -> None:
-        """Puts the times noted so far into the histograms.
+        """Adds the times collected so far to the histograms.
 
-        The library is loaded with the first of them: not before callers are
+        The library is imported for the first of them: not before callers are
         served, and not at all in a process that serves none.
         """
-        if not self._times:
+        if not self._pending_times:
             return
         from hdrh.histogram import HdrHistogram
 
-        for series, elapsed in self._times:
+        for series, elapsed in self._pending_times:
             if series not in self._latency:
-                self._latency[series] = HdrHistogram(1, LONGEST_US, DIGITS)
+                self._latency[series] = HdrHistogram(
+                    1, MAX_LATENCY_US, SIGNIFICANT_DIGITS
+                )
             self._latency[series].record_value(elapsed)
-        self._times.clear()
+        self._pending_times.clear()
 
     def text(self) -> str:
-        """Returns everything in the Prometheus text form."""
+        """Returns all metrics in the Prometheus text format."""
         self.fill()
         return "\n".join(self._lines()) + "\n"
 
@@ -101,7 +103,7 @@
         req.conn.reply(req, reply.status, reply.headers, self.text().encode())
 
     def gone(self, req: HttpRequest) -> None:
-        """Nothing runs for it."""
+        """Does nothing: no request is pending."""
 
 
 def _escape(text: str) -> str:
--- a/greengagemoor/serving/opencalls.py
+++ b/greengagemoor/serving/opencalls.py
@@ -1,4 +1,4 @@
-"""Calls to a control instance whose answer waits for a decider."""
+"""Calls to a control instance that wait for a decider's result."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
     from greengagemoor.control.messages import OpReply
     from greengagemoor.serving.dialect import Reply
 
-BAD_CALLS_PER_S = 1.0
-BAD_CALLS_BURST = 10.0
-"""Anybody may send a control instance what it can't read, at any rate; the
-number in each line tells what was left out."""
-MOST_REASON = 200
+BAD_CALL_LINES_PER_S = 1.0
+BAD_CALL_LINES_BURST = 10.0
+"""Log lines at once. Anybody may send malformed calls at any rate; the total in
+each line shows how many were left out."""
+MAX_FIELD_CHARACTERS = 200
 
 
 class OpenCalls:
-    """Calls by token, until each has its answer."""
+    """Calls without an answer yet, by token."""
 
     def __init__(self):
         self._tokens = count(1)
@@ -34,11 +34,11 @@
     def open(
         self, req: HttpRequest, write: Callable[[OpReply], Reply] | None = None
     ) -> int:
-        """Returns the token under which the call waits.
+        """Registers a call and returns its token.
 
         Args:
             req: the call.
-            write: writes the answer, for an operation of the control group.
+            write: builds the reply to an operation of the control group.
         """
         req.token = next(self._tokens)
         self._waiting[req.token] = req
@@ -47,12 +47,12 @@
         return req.token
 
     def forget(self, req: HttpRequest) -> None:
-        """Forgets a call whose caller left."""
+        """Discards a call whose connection closed."""
         self._waiting.pop(req.token, None)
         self._writers.pop(req.token, None)
 
     def answer(self, token: int, reply: Reply) -> None:
-        """Answers a call, if its caller is still there."""
+        """Answers a call, unless its connection closed."""
         req = self._waiting.pop(token, None)
         if req is not None:
             answer(req, reply)
@@ -77,19 +77,19 @@
 
 
 class BadCalls:
-    """Counts calls that can't be read, and logs some of them."""
+    """Counts malformed calls, and logs some of them."""
 
     def __init__(self):
         self.total = 0
-        self._budget = LineBudget(BAD_CALLS_PER_S, BAD_CALLS_BURST)
+        self._budget = LineBudget(BAD_CALL_LINES_PER_S, BAD_CALL_LINES_BURST)
 
     def note(self, now: float, target: str, reason: Exception) -> None:
-        """Counts a call; logs it if there is room."""
+        """Counts a call; logs it within the budget."""
         self.total += 1
         if self._budget.take(now):
             log.event(
                 "bad_call",
-                target=target[:MOST_REASON],
-                reason=str(reason)[:MOST_REASON],
+                target=target[:MAX_FIELD_CHARACTERS],
+                reason=str(reason)[:MAX_FIELD_CHARACTERS],
                 number=self.total,
             )
--- a/greengagemoor/serving/operators.py
+++ b/greengagemoor/serving/operators.py
@@ -1,4 +1,4 @@
-"""Operators' calls that the control group decides."""
+"""Operators' calls that the control group executes."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
     from greengagemoor.serving.settings import ServingSettings
 
 ASK_S = 0.9
-"""Operators turn to another instance after a second."""
+"""Time limit of an operation; operators retry elsewhere after a second."""
 EVACUATIONS_PATH = "/evacuations"
-MOST_FAULTS = 5
+MAX_FAULTS = 5
 JSON_TYPE = ((b"Content-Type", b"application/json"),)
 
 
 class OperatorCalls:
-    """Puts and reads the document, and evacuates data centres."""
+    """Calls that put or read the document, or evacuate a data centre."""
 
     def __init__(
         self,
@@ -45,14 +45,14 @@
         put: Callable[[object], None],
         now: Callable[[], float],
     ):
-        """Prepares.
+        """Starts without a decider; ``decider`` is set once it exists.
 
         Args:
             cfg: settings.
             dialect: reads documents and writes answers.
-            open_calls: keeps each call until it is answered.
-            put: takes ``Ask``.
-            now: seconds of the clock of ``Ask``.
+            open_calls: holds each call until it is answered.
+            put: receives ``Ask``.
+            now: returns the time in seconds, by the clock of ``Ask``.
         """
         self.cfg = cfg
         self.decider: ControlDecider | None = None
@@ -62,25 +62,25 @@
         self._now = now
 
     def take_put(self, req: HttpRequest, call: calls.PutCall) -> None:
-        """Puts a document, if it is valid."""
+        """Submits a document to the control group, if it is valid."""
         try:
             table = self._dialect.read_document(call.body)
             routes.check(table)
         except DocumentError as exc:
-            faults = "; ".join(exc.faults[:MOST_FAULTS])
+            faults = "; ".join(exc.faults[:MAX_FAULTS])
             log.event("document_refused", faults=faults)
             opencalls.answer(req, self._dialect.write_put(False, faults))
             return
         packed = zlib.compress(call.body, 6)
         command = PutDocument(table.version, packed, 0.0)
-        self._ask(req, OpKind.PUT, self._write_put, command)
+        self._submit(req, OpKind.PUT, self._write_put, command)
 
     def take_read(self, req: HttpRequest) -> None:
         """Reads the document in force."""
-        self._ask(req, OpKind.READ_NUMBERED, self._write_read)
+        self._submit(req, OpKind.READ_NUMBERED, self._write_read)
 
     def take_evacuate(self, req: HttpRequest, call: calls.EvacuateCall) -> None:
-        """Evacuates a data centre, or takes that back."""
+        """Evacuates a data centre, or ends its evacuation."""
         fault = self.fault_of(call.data_centre)
         if fault:
             opencalls.answer(req, self._dialect.write_evacuated(False, fault))
@@ -88,11 +88,14 @@
             self.evacuate(req, call, self._write_evacuated)
 
     def fault_of(self, data_centre: str) -> str:
-        """Returns what is wrong with a data centre's name, '' if nothing."""
+        """Returns why a data centre's name is invalid, '' if it is valid."""
         known = self.cfg.data_centres
         if not known or data_centre in known:
             return ""
-        fault = f"no data centre {data_centre!r}; there are {', '.join(known)}"
+        fault = (
+            f"unknown data centre {data_centre!r}; "
+            f"expected one of {', '.join(known)}"
+        )
         log.event("evacuation_refused", fault=fault)
         return fault
 
@@ -102,34 +105,34 @@
         call: calls.EvacuateCall,
         write: Callable[[OpReply], Reply],
     ) -> None:
-        """Gives the order to the control group.
+        """Submits an evacuation or its end to the control group.
 
         Args:
             req: the call.
-            call: what is wanted; the data centre is known.
-            write: writes the answer.
+            call: the evacuation; its data centre must be valid.
+            write: builds the reply.
         """
         number = 0
         if self.decider is not None:
             table = self.decider.state.machine.evacuations
             number = table.number_of(call.data_centre)
         command = SetEvacuation(call.data_centre, call.active, number, 0.0)
-        self._ask(req, OpKind.EVACUATE, write, command)
+        self._submit(req, OpKind.EVACUATE, write, command)
 
     def read(self, req: HttpRequest, write: Callable[[OpReply], Reply]) -> None:
-        """Reads what a quorum confirms.
+        """Reads the state that a quorum confirms.
 
         Args:
             req: the call.
-            write: writes the answer.
+            write: builds the reply.
         """
-        self._ask(req, OpKind.READ_NUMBERED, write)
+        self._submit(req, OpKind.READ_NUMBERED, write)
 
     def forget(self, req: HttpRequest) -> None:
-        """Forgets a call whose operator left; what it asked for goes on."""
+        """Discards a call whose connection closed; its operation continues."""
         self._calls.forget(req)
 
-    def _ask(
+    def _submit(
         self,
         req: HttpRequest,
         kind: OpKind,
@@ -152,55 +155,59 @@
 
 
 class EvacuationPage:
-    """The product's own calls; all other paths go to the next handler.
+    """Handles ``/evacuations``; all other paths go to the next handler.
 
     ``GET /evacuations`` lists what a quorum confirms, and ``POST /evacuations``
     with ``{"data_centre": "...", "active": true}`` evacuates a data centre or,
-    with ``false``, takes that back.
+    with ``false``, ends its evacuation.
     """
 
-    def __init__(self, following: Handler, operators: OperatorCalls):
-        """Prepares.
+    def __init__(self, next_handler: Handler, operators: OperatorCalls):
+        """Puts the page in front of the next handler.
 
         Args:
-            following: answers all other paths.
-            operators: asks the control group.
+            next_handler: answers all other paths.
+            operators: submits calls to the control group.
         """
-        self._following = following
+        self._next_handler = next_handler
         self._operators = operators
 
     def take(self, req: HttpRequest) -> None:
-        """Answers a call, or has it answered."""
+        """Answers a call, submits it or passes it to the next handler."""
         if req.path != EVACUATIONS_PATH:
-            self._following.take(req)
+            self._next_handler.take(req)
         elif req.method == "GET":
             self._operators.read(req, _write_rows)
         elif req.method == "POST":
             self._evacuate(req)
         else:
-            opencalls.answer(req, _json(405, {"error": "GET or POST"}))
+            opencalls.answer(req, _json(405, {"error": "expected GET or POST"}))
 
     def gone(self, req: HttpRequest) -> None:
-        """Forgets a call whose operator left; an order goes on."""
+        """Discards a call whose connection closed; its operation continues."""
         self._operators.forget(req)
-        self._following.gone(req)
+        self._next_handler.gone(req)
 
     def _evacuate(self, req: HttpRequest) -> None:
         try:
             body = json.loads(req.body)
             call = calls.EvacuateCall(body["data_centre"], body["active"])
             if not isinstance(call.data_centre, str):
-                raise TypeError("data_centre is no text")
+                raise TypeError("data_centre is not a string")
             if not isinstance(call.active, bool):
-                raise TypeError("active is neither true nor false")
+                raise TypeError("active is not a boolean")
         except (ValueError, KeyError, TypeError) as exc:
-            opencalls.answer(req, _json(400, {"error": f"order: {exc!r}"}))
+            opencalls.answer(
+                req, _json(400, {"error": f"malformed order: {exc!r}"})
+            )
             return
         fault = self._operators.fault_of(call.data_centre)
         if fault:
-            opencalls.answer(req, _coded(Code.INVALID, {"error": fault}))
+            opencalls.answer(
+                req, _json_with_code(Code.INVALID, {"error": fault})
+            )
         else:
-            self._operators.evacuate(req, call, _write_ordered)
+            self._operators.evacuate(req, call, _write_order_result)
 
 
 def _write_rows(reply: OpReply) -> Reply:
@@ -212,17 +219,17 @@
         }
         for row in reply.evacuations
     ]
-    return _coded(Code(reply.code), {"evacuations": rows})
+    return _json_with_code(Code(reply.code), {"evacuations": rows})
 
 
-def _write_ordered(reply: OpReply) -> Reply:
-    return _coded(Code(reply.code), {"number": reply.version})
+def _write_order_result(reply: OpReply) -> Reply:
+    return _json_with_code(Code(reply.code), {"number": reply.version})
 
 
-def _coded(code: Code, body: dict[str, Any]) -> Reply:
+def _json_with_code(code: Code, body: dict[str, Any]) -> Reply:
     info = CODE_TABLE[code]
-    words = {"code": int(code), "meaning": info.meaning}
-    return _json(info.http_status, {**words, **body})
+    result = {"code": int(code), "meaning": info.meaning}
+    return _json(info.http_status, {**result, **body})
 
 
 def _json(status: int, body: dict[str, Any]) -> Reply:
--- a/greengagemoor/serving/peers.py
+++ b/greengagemoor/serving/peers.py
@@ -1,4 +1,4 @@
-"""Links between entries, on which they share the shards of a query."""
+"""Links between entries that share the work of a query."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
     from greengagemoor.feed.messages import Helper
 
-LINES_PER_S = 40.0
-LINES_BURST = 80.0
+PART_LINES_PER_S = 40.0
+PART_LINES_BURST = 80.0
 
 
 class Peers:
-    """Carries parts to and from other entries.
+    """Exchanges parts of queries with other entries.
 
-    They have links of their own: what control says goes on the others, and
-    whoever links here is no control instance.
+    Entries use separate links for them: messages of control instances go over
+    the other links, and no control instance connects here.
     """
 
     def __init__(
@@ -46,18 +46,18 @@
         put: Callable[[object], None],
         requests: dict[int, HttpRequest],
     ):
-        """Prepares; ``start`` listens.
+        """Does not listen yet; ``start`` does.
 
         Args:
-            name: this entry.
-            address: where other entries dial it.
-            put: takes ``FromPeer``, ``PeerUp`` and ``PeerDown``.
-            requests: what searchers are sent, by token.
+            name: name of this entry.
+            address: address on which other entries connect.
+            put: receives ``FromPeer``, ``PeerUp`` and ``PeerDown``.
+            requests: the requests to send to searchers, by token.
         """
         self._put = put
         self._requests = requests
-        self._links = Links(name, address, self._take)
-        self._lines = LineBudget(LINES_PER_S, LINES_BURST)
+        self._links = Links(name, address, self._receive)
+        self._lines = LineBudget(PART_LINES_PER_S, PART_LINES_BURST)
 
     async def start(self) -> None:
         """Listens.
@@ -68,7 +68,7 @@
         await self._links.start()
 
     def want(self, helpers: tuple[Helper, ...]) -> None:
-        """Keeps a link to each of these, and dials no others any more."""
+        """Maintains a link to each of these entries, and dials no others."""
         self._links.want({helper.address for helper in helpers})
 
     @property
@@ -77,17 +77,17 @@
         return self._links.sent_bytes
 
     def send(self, msg: ToPeer) -> None:
-        """Sends to another entry; without a link the message is lost."""
+        """Sends a message to another entry; it is lost without a link."""
         payload = msg.payload
         if isinstance(payload, AskPart):
             req = self._requests.get(msg.token)
             if req is None:
                 return
-            payload = attrs.evolve(payload, copy=_copy(req))
+            payload = attrs.evolve(payload, copy=_copy_request(req))
         self._links.send(Send(msg.name, payload))
 
     def open(self, msg: PartOpened) -> None:
-        """Keeps what searchers are sent for another entry."""
+        """Stores the request of a part that another entry asked for."""
         copy = msg.copy
         pairs = (line.partition(b": ") for line in copy.head.splitlines())
         headers = [(name, value) for name, _, value in pairs]
@@ -96,7 +96,7 @@
         )
 
     def close(self, now: float, msg: PartClosed) -> None:
-        """Lets go of what searchers were sent for another entry."""
+        """Discards the request of a part, and logs its end."""
         self._requests.pop(msg.token, None)
         if self._lines.take(now):
             log.event(
@@ -111,7 +111,7 @@
                 left_out=self._lines.take_dropped(),
             )
 
-    def _take(self, msg: object) -> None:
+    def _receive(self, msg: object) -> None:
         if isinstance(msg, Received):
             self._put(FromPeer(msg.sender, msg.payload))
         elif isinstance(msg, LinkUp):
@@ -120,6 +120,6 @@
             self._put(PeerDown(msg.name))
 
 
-def _copy(req: HttpRequest) -> RequestCopy:
+def _copy_request(req: HttpRequest) -> RequestCopy:
     lines = (b"%s: %s\r\n" % pair for pair in req.headers)
     return RequestCopy(req.method, req.target, b"".join(lines), req.body)
--- a/greengagemoor/serving/quarantine.py
+++ b/greengagemoor/serving/quarantine.py
@@ -1,4 +1,4 @@
-"""Operators' calls about requests under which searchers have ended."""
+"""Operators' calls on suspect and quarantined requests."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     from greengagemoor.feed.suspects import SuspectTable
 
 PATH = "/quarantine"
-MOST_SHOWN = 1000
+MAX_ROWS = 1000
 """Rows in one answer, some 300 KB."""
 JSON_TYPE = ((b"Content-Type", b"application/json"),)
 
 
 class QuarantinePage:
-    """Lists requests, and clears one; all other paths go to the metrics.
+    """Handles ``/quarantine``; all other paths go to the metrics.
 
     ``GET /quarantine`` lists suspect and quarantined requests, and
     ``POST /quarantine`` with ``{"digest": "..."}`` clears one.
@@ -34,12 +34,12 @@
         table: SuspectTable,
         put: Callable[[object], None],
     ):
-        """Prepares.
+        """Puts the page in front of the metrics.
 
         Args:
             metrics: answers all other paths.
-            table: what this control instance knows.
-            put: takes ``ClearSuspect``.
+            table: suspect requests, as this control instance has them.
+            put: receives ``ClearSuspect``.
         """
         self._metrics = metrics
         self._table = table
@@ -54,41 +54,41 @@
         elif req.method == "POST":
             self._clear(req)
         else:
-            _reply(req, 405, {"error": "GET or POST"})
+            _reply(req, 405, {"error": "expected GET or POST"})
 
     def gone(self, req: HttpRequest) -> None:
-        """Nothing runs for it."""
+        """Does nothing: each call is answered at once."""
 
     def _rows(self) -> list[dict[str, Any]]:
         rows = self._table.rows(Standing.QUARANTINED, Standing.SUSPECT)
-        return [_show(row) for row in rows[:MOST_SHOWN]]
+        return [_row_to_json(row) for row in rows[:MAX_ROWS]]
 
     def _clear(self, req: HttpRequest) -> None:
         try:
             fingerprint = bytes.fromhex(json.loads(req.body)["digest"])
         except (ValueError, KeyError, TypeError):
-            _reply(req, 400, {"error": "a digest is wanted"})
+            _reply(req, 400, {"error": "expected a hexadecimal digest"})
             return
         if self._table.get(fingerprint) is None:
-            _reply(req, 404, {"error": "no such request"})
+            _reply(req, 404, {"error": "no request has this digest"})
             return
         self._put(ClearSuspect(fingerprint))
         _reply(req, 200, {"cleared": fingerprint.hex()})
 
 
-def _show(row: Suspect) -> dict[str, Any]:
+def _row_to_json(row: Suspect) -> dict[str, Any]:
     return {
         "digest": row.fingerprint.hex(),
         "standing": standing_of(row).value,
         "route": row.route,
         "cleared_before": row.epoch,
-        "ended": [_name(key) for key in row.ended],
-        "ended_in_trial": [_name(key) for key in row.failed],
+        "ended": [_format_key(key) for key in row.ended],
+        "ended_in_trial": [_format_key(key) for key in row.failed],
         "sure": row.sure,
     }
 
 
-def _name(key: SearcherKey) -> str:
+def _format_key(key: SearcherKey) -> str:
     return f"{key.searcher_id}@{key.start}"
 
 
--- a/greengagemoor/serving/requestlog.py
+++ b/greengagemoor/serving/requestlog.py
@@ -1,4 +1,4 @@
-"""Which lines a request leaves in the log."""
+"""Log lines of requests."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
     from greengagemoor.forward.messages import Respond, Step
 
 EXPECTED_PER_S = 40.0
-"""Lines a second for requests that went as expected: the calm rate of an entry
-twice over; beyond it they are a sample."""
+"""Lines a second for requests that went as expected: twice the rate of an entry
+under normal load. Above it the lines are a sample."""
 OTHERS_PER_S = 400.0
-"""Lines a second for all others: ten requests with all their steps."""
+"""Lines a second for all other requests: ten of them with all steps."""
 BURST_S = 2.0
-TOLD_EVERY_S = 1.0
+DROPPED_INTERVAL_S = 1.0
 
 
 class RequestLog:
-    """Writes a line for an expected answer, all steps for any other.
+    """Logs one line for an expected answer, and all steps of any other.
 
-    A request that was answered whole, within its objective and without a
-    repeat leaves one line, within a budget. One that was late, partial,
-    refused, failed or repeated leaves each step as well, within another
-    budget, so that a burst of good ones can't push out the ones that an
-    operator looks for.
+    A request that was answered in full, within its objective and without a
+    repeat gives one line, within a budget. One that was late, partial,
+    rejected, failed or repeated gives a line for each step as well, within
+    another budget, so that a burst of expected answers can't displace the
+    lines that an operator looks for.
     """
 
     def __init__(self):
         self._expected = LineBudget(EXPECTED_PER_S, EXPECTED_PER_S * BURST_S)
         self._others = LineBudget(OTHERS_PER_S, OTHERS_PER_S * BURST_S)
-        self._told_at = 0.0
+        self._dropped_logged_at = 0.0
 
     def note(self, now: float, msg: Respond, document: int) -> None:
         """Logs the end of a request.
@@ -51,11 +51,11 @@
                     _log_step(msg, step)
         if budget.take(now):
             _log_answer(msg, document)
-        if now - self._told_at >= TOLD_EVERY_S:
-            self._told_at = now
-            self._tell_dropped()
+        if now - self._dropped_logged_at >= DROPPED_INTERVAL_S:
+            self._dropped_logged_at = now
+            self._log_dropped()
 
-    def _tell_dropped(self) -> None:
+    def _log_dropped(self) -> None:
         dropped = self._expected.take_dropped() + self._others.take_dropped()
         if dropped:
             log.event("log_lines_dropped", number=dropped)
--- a/greengagemoor/serving/settings.py
+++ b/greengagemoor/serving/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one event-loop process, whatever file they came from."""
+"""Settings of one event-loop process, independent of the file format."""
 
 from __future__ import annotations
 
@@ -7,42 +7,43 @@
 from greengagemoor.util.checks import in_range, is_address
 
 
-def _addresses(_, attribute, value):
+def _check_addresses(_, attribute, value):
     for address in value:
         is_address(_, attribute, address)
 
 
 @attrs.frozen
 class ServingSettings:
-    """What one process is told; times in seconds, addresses ip:port.
+    """Settings of one process; times in seconds, addresses as ip:port.
 
     Attributes:
-        instance: this process's name, unique over all machines.
-        peer_address: where other processes of ours reach it.
+        instance: name of this process, unique over all machines.
+        peer_address: for other entry and control instances.
         seeds: peer addresses of some control instances.
         new_group: whether the whole system starts for the first time.
-        caller_address: where callers send requests (entries).
-        health_address: where the platform asks whether it is ready (entries).
+        caller_address: for callers' requests (entries).
+        health_address: for the platform's readiness checks (entries).
         control_address: for operators and announcements (control).
-        directory_address: for callers that look for entries (control).
-        metrics_address: where metrics are read; '' for none.
-        data_folder: where durable state lies (control).
-        announce_s: how often searchers announce themselves.
-        grace_s: time between SIGTERM and the end that the platform forces.
-        catch_up_s: how long after its start a control instance may take until
-            the group bears a further loss.
-        retry_ratio: second sends allowed for each request, over all entries.
-        retry_slack: second sends allowed besides, of all entries to one
+        directory_address: for callers that look up entries (control).
+        metrics_address: for reading the metrics; '' for none.
+        data_folder: folder of the durable state (control).
+        announce_s: interval of a searcher's announcements.
+        grace_s: time from SIGTERM until the platform ends the process.
+        catch_up_s: time from the start of a control instance within which the
+            group must tolerate a further loss.
+        retry_ratio: second sends allowed per request, over all entries.
+        retry_slack: second sends allowed in addition, of all entries to one
             service in each window.
         retry_window_s: length of that window.
-        link_bytes_per_s: what this process's link carries, 0 if not told.
-        data_centres: all that there are, () if that isn't told.
+        link_bytes_per_s: capacity of this process's network link, 0 if not
+            given.
+        data_centres: all data centres, () if not given.
     """
 
     instance: str
     data_centre: str
     peer_address: str = attrs.field(validator=is_address)
-    seeds: tuple[str, ...] = attrs.field(validator=_addresses)
+    seeds: tuple[str, ...] = attrs.field(validator=_check_addresses)
     new_group: bool = False
     caller_address: str = ""
     health_address: str = ""
@@ -68,12 +69,12 @@
 
     @property
     def founds(self) -> bool:
-        """Whether this process is told to found the control group."""
+        """Whether the settings tell this process to found the control group."""
         return self.new_group and self.peer_address in self.seeds
 
     @property
     def other_seeds(self) -> dict[str, str]:
-        """The seeds but this process, by instance: they are named by IP."""
-        named = {seed.partition(":")[0]: seed for seed in self.seeds}
-        named.pop(self.instance, None)
-        return named
+        """Seeds except this process, by instance name, which is the IP."""
+        by_instance = {seed.partition(":")[0]: seed for seed in self.seeds}
+        by_instance.pop(self.instance, None)
+        return by_instance
--- a/greengagemoor/serving/ticker.py
+++ b/greengagemoor/serving/ticker.py
@@ -1,4 +1,4 @@
-"""Runs deciders on the event loop: messages and timers in, handlers out."""
+"""Runs deciders on the event loop, for messages and timers."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
     from greengagemoor.shell.clock import Clock
 
-LONGEST_SLEEP_S = 0.5
+MAX_SLEEP_S = 0.5
 
 
 class Ticker:
-    """Collects messages of one turn of the loop and runs one tick for them."""
+    """Collects messages and runs one tick for all of a turn of the loop."""
 
     def __init__(
         self, clock: Clock, run: Callable[[float, list], float | None]
     ):
-        """Starts with nothing to do.
+        """Starts with an empty inbox.
 
         Args:
-            clock: time of the deciders.
+            clock: clock of the deciders.
             run: runs a tick and returns when the next one is due.
         """
         self.failures = 0
@@ -37,7 +37,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def put(self, msg: object) -> None:
-        """Adds a message; the tick runs in this turn of the loop."""
+        """Adds a message, and schedules a tick unless one is scheduled."""
         self._inbox.append(msg)
         if not self._scheduled:
             self._scheduled = True
@@ -56,7 +56,7 @@
         try:
             wake = self._run(now, msgs)
         except Exception as exc:
-            # One message that no code expected must not stop all others.
+            # An unexpected message must not stop the processing of others.
             self.failures += 1
             log.event(
                 "tick_failed",
@@ -70,7 +70,7 @@
     def _sleep(self, now: float, wake: float | None) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        longest = now + LONGEST_SLEEP_S
-        at = longest if wake is None else min(wake, longest)
+        latest = now + MAX_SLEEP_S
+        at = latest if wake is None else min(wake, latest)
         delay = max(0.0005, at - now)
         self._timer = self._loop.call_later(delay, self.tick)
--- a/tests/test_serving/helpers.py
+++ b/tests/test_serving/helpers.py
@@ -1,4 +1,4 @@
-"""Who calls a control instance's pages, and the page behind them."""
+"""Stand-ins for a caller of a control instance and for its metrics page."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @attrs.define
 class Caller:
-    """Collects the answer to one call."""
+    """Records the answer to one call."""
 
     status: int = 0
     body: bytes = b""
@@ -17,7 +17,7 @@
 
 
 class Metrics:
-    """Stands for the next page."""
+    """Stand-in for the metrics page, to which other paths are passed."""
 
     def take(self, req):
         req.conn.reply(req, 200, (), b"metrics")
--- a/tests/test_serving/test_control.py
+++ b/tests/test_serving/test_control.py
@@ -1,4 +1,4 @@
-"""A control instance's calls on the event loop, without sockets."""
+"""Calls to a control instance on the event loop, without sockets."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from greengagemoor.serving.settings import ServingSettings
 from tests.test_platform.test_other_writers import BEAT
 
-TURNS = 3
+LOOP_TURNS = 3
 
 
 @attrs.define
 class Caller:
-    """Collects the answers to one caller."""
+    """Records the answers to one caller."""
 
     statuses: list[int] = attrs.field(factory=list)
 
@@ -35,7 +35,7 @@
         self.statuses.append(status)
 
 
-def outside() -> ControlDecider:
+def member_without_group() -> ControlDecider:
     """Returns a member that belongs to no group."""
     seeds = {"10.0.0.3": "10.0.0.3:7740"}
     rng = random.Random(1)
@@ -46,9 +46,9 @@
     """Sends announcements to one control instance; returns it and statuses.
 
     Args:
-        bodies: of the announcements.
+        bodies: bodies of the announcements.
         decider: the instance's member of the control group, if it is open.
-        *msgs: what it got from other processes before.
+        *msgs: messages that it received from other processes before.
     """
 
     async def run():
@@ -58,14 +58,14 @@
         app._ticker.tick()
         for msg in msgs:
             app._ticker.put(msg)
-            for _ in range(TURNS):
+            for _ in range(LOOP_TURNS):
                 await asyncio.sleep(0)
         statuses = []
         for number, body in enumerate(bodies):
             caller = Caller()
             target = f"/v1/instances/i{number}/heartbeat"
             app.take(HttpRequest("POST", target, [], body, 0.0, caller))
-            for _ in range(TURNS):
+            for _ in range(LOOP_TURNS):
                 await asyncio.sleep(0)
             statuses.append(caller.statuses)
         return app, statuses
@@ -74,7 +74,7 @@
 
 
 class TestAnnouncements:
-    """One that can't be read costs nobody else anything."""
+    """A malformed announcement does not affect others."""
 
     GOOD = json.dumps(BEAT).encode()
 
@@ -87,11 +87,11 @@
             {"zone": "\ud800"},
         ],
     )
-    def test_the_others_hold(self, bad):
-        """Symptom: good announcements of the same moment were not taken.
+    def test_malformed_one_affects_no_other(self, bad):
+        """Valid announcements of the same tick were lost.
 
-        Sequence: one whose address is a list is read as a row; the tick that
-        looks it up fails. Cause: fields were taken without a look at types.
+        Field types were not checked: an announcement whose address was a list
+        was read as a row, and the tick that looked the address up failed.
         """
         odd = json.dumps({**BEAT, **bad}).encode()
         app, statuses = play([self.GOOD, odd, self.GOOD])
@@ -108,37 +108,36 @@
 
 
 class TestOutsideAGroup:
-    """A control instance that has not been taken in yet."""
+    """A control instance that has not joined the group yet."""
 
     GOOD = json.dumps(BEAT).encode()
     DRAINS = json.dumps({**BEAT, "state": "draining"}).encode()
 
-    def test_acknowledges_nothing_that_no_entry_hears(self):
+    def test_acknowledges_nothing_without_linked_entries(self):
         """Entries went on sending to a searcher whose drain was acknowledged.
 
-        A newcomer listened for searchers from its start, and entries are told
-        of it once it is a member. A searcher that drained at it was answered
-        at once, as no entry had to take the change in; all entries went on
-        taking it for ready until it was silent for long enough:
-
-            event=searcher id=i7 state=ready (at each entry)
-            POST heartbeat state=draining at the newcomer: 200 in 1 ms
+        A control instance accepts announcements from its start, but entries
+        link to it only once it is a member. It answered a drain with 200 in
+        1 ms, as there was no entry to wait for, and all entries regarded the
+        searcher as ready until its silence time-out.
         """
-        _, statuses = play([self.GOOD, self.DRAINS], outside())
+        _, statuses = play([self.GOOD, self.DRAINS], member_without_group())
         assert statuses == [[503], [503]]
 
     def test_acknowledges_when_an_entry_is_linked(self):
-        """At the first start entries are there before the group is."""
+        """At the first start entries are linked before the group exists."""
         subscribe = Subscribe("e1", "10.0.1.1:80", "dc1", ready=True)
         entry = Received("e1", subscribe)
         taken = Received("e1", RowsTaken(10))
-        _, statuses = play([self.GOOD], outside(), LinkUp("e1"), entry, taken)
+        _, statuses = play(
+            [self.GOOD], member_without_group(), LinkUp("e1"), entry, taken
+        )
         assert statuses == [[200]]
 
-    def test_asks_whom_it_was_told_of(self):
-        """Operators' calls went to its seeds only, whoever led."""
+    def test_forwards_to_members_named_in_a_join_reply(self):
+        """Operators' calls were forwarded to the seeds only, whoever led."""
         leader = Member("10.0.0.9#a", "10.0.0.9", "10.0.0.9:7740", voter=True)
         reply = JoinReply("group", "10.0.0.3#a", False, "10.0.0.9#a", (leader,))
-        app, _ = play([], outside(), Received("10.0.0.3", reply))
+        app, _ = play([], member_without_group(), Received("10.0.0.3", reply))
         assert "10.0.0.9" in app._client.targets
         assert "10.0.0.9:7740" in app._links._wanted
--- a/tests/test_serving/test_durable.py
+++ b/tests/test_serving/test_durable.py
@@ -21,7 +21,7 @@
 
 
 def open_folder(path, founders, damage=None):
-    """Opens a folder as a process does at its start; returns what it holds."""
+    """Opens a folder as a process does at its start; returns its state."""
 
     async def run():
         durable = Durable(str(path), "127.0.0.1", lambda _: None, founders)
@@ -37,24 +37,24 @@
 
 
 class TestFounders:
-    """Who may found is kept with the folder that was told so, and no other."""
+    """Founders are stored only in the folder that is created with them."""
 
-    def test_kept_over_a_restart_that_is_not_told(self, tmp_path):
+    def test_kept_over_a_restart_without_the_setting(self, tmp_path):
         first = open_folder(tmp_path / "d", FOUNDERS)
         second = open_folder(tmp_path / "d", None)
         assert first.founders == second.founders == FOUNDERS
         assert first.member_id == second.member_id
 
-    def test_a_folder_that_was_not_told_may_not(self, tmp_path):
+    def test_not_stored_in_an_existing_folder(self, tmp_path):
         open_folder(tmp_path / "d", None)
         assert open_folder(tmp_path / "d", FOUNDERS).founders is None
 
-    def test_gone_with_the_disk(self, tmp_path):
+    def test_lost_with_the_disk(self, tmp_path):
         open_folder(tmp_path / "a", FOUNDERS)
         assert open_folder(tmp_path / "b", None).founders is None
 
-    def test_an_emptied_folder_forgets_it(self, tmp_path):
-        """It may have belonged to a group, though the process was told."""
+    def test_not_stored_in_an_emptied_folder(self, tmp_path):
+        """The member may have belonged to a group, despite the settings."""
 
         def damage():
             for path in (tmp_path / "d").glob("journal-*.bin"):
@@ -65,7 +65,7 @@
 
 
 class TestEntries:
-    """How many entries there were is known again after a restart."""
+    """The number of entries is restored after a restart."""
 
     def test_kept_over_a_restart(self, tmp_path):
         async def run():
@@ -81,13 +81,13 @@
 
         assert asyncio.run(run()) == (0, 191)
 
-    def test_damaged_is_not_known(self, tmp_path):
+    def test_zero_if_damaged(self, tmp_path):
         async def run():
-            one = Durable(str(tmp_path / "d"), "127.0.0.1", lambda _: None)
-            await one.open()
+            durable = Durable(str(tmp_path / "d"), "127.0.0.1", lambda _: None)
+            await durable.open()
             (tmp_path / "d" / ENTRIES).write_bytes(b"\xff\xff")
-            await one.close()
-            return one.kept_entries()
+            await durable.close()
+            return durable.kept_entries()
 
         assert asyncio.run(run()) == 0
 
@@ -96,10 +96,10 @@
 
 
 class TestSuspects:
-    """Requests that end searchers are known again after a restart."""
+    """Suspect requests are restored after a restart."""
 
-    def restart(self, path, *told, damage=None):
-        """Runs a control instance's keeping; returns what its hub knows."""
+    def restart(self, path, *received, damage=None):
+        """Runs a hub with its storage; returns the hub's rows of suspects."""
 
         async def run():
             durable = Durable(str(path), "127.0.0.1", lambda _: None)
@@ -107,7 +107,7 @@
             hub = Hub(Timing(1.0), "c1")
             keeper = Keeper(hub, durable)
             keeper.restore(0.0)
-            for row in told:
+            for row in received:
                 hub.step(1.0, [Received("e1", SuspectRows((row,)))])
             if damage is not None:
                 damage()
@@ -121,15 +121,15 @@
         return asyncio.run(run())
 
     def test_kept_over_a_restart(self, tmp_path, monkeypatch):
-        monkeypatch.setattr(keeping, "KEEP_S", 0.001)
+        monkeypatch.setattr(keeping, "STORE_INTERVAL_S", 0.001)
         assert self.restart(tmp_path / "d", SUSPECT) == (SUSPECT,)
         assert self.restart(tmp_path / "d") == (SUSPECT,)
 
-    def test_written_again_once_the_folder_was_emptied(
+    def test_stored_again_after_the_folder_was_emptied(
         self, tmp_path, monkeypatch
     ):
-        """A damaged folder is emptied while the process goes on."""
-        monkeypatch.setattr(keeping, "KEEP_S", 0.001)
+        """A damaged folder is emptied while the process keeps running."""
+        monkeypatch.setattr(keeping, "STORE_INTERVAL_S", 0.001)
 
         def damage():
             (tmp_path / "d" / SUSPECTS).unlink(missing_ok=True)
--- a/tests/test_serving/test_entry.py
+++ b/tests/test_serving/test_entry.py
@@ -1,4 +1,4 @@
-"""An entry on the event loop: how it ends."""
+"""Shutdown of an entry on the event loop."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Transport(asyncio.Transport):
-    """Takes what is written, and closes at once."""
+    """Records what is written, and closes at once."""
 
     def __init__(self, conn):
         super().__init__()
@@ -34,7 +34,7 @@
 
 
 class SlowHandler:
-    """Answers a request a little later, as a searcher would."""
+    """Answers each request after a delay, as a searcher would."""
 
     def take(self, req):
         loop = asyncio.get_running_loop()
@@ -44,19 +44,24 @@
         pass
 
 
-def leave_while_one_connects(monkeypatch):
-    """Stops an entry as the last connection is accepted.
+def stop_while_a_caller_connects(monkeypatch):
+    """Stops an entry while a last connection is being accepted.
 
     Returns:
-        What that connection was sent until the entry had stopped.
+        The bytes sent on that connection before the entry stopped.
     """
     monkeypatch.setattr(entry_module, "KEEP_SERVING_SHARE", 0.001)
 
     async def main():
         loop = asyncio.get_running_loop()
-        here = "127.0.0.1:1"
+        address = "127.0.0.1:1"
         cfg = ServingSettings(
-            "e1", "dc1", here, (), caller_address=here, health_address=here
+            "e1",
+            "dc1",
+            address,
+            (),
+            caller_address=address,
+            health_address=address,
         )
         app = EntryApp(cfg, PlatformDialect())
         callers = app._callers
@@ -77,22 +82,16 @@
     return asyncio.run(main())
 
 
-class TestLeaving:
-    """An entry that was told to end cuts off no request.
+class TestStop:
+    """An entry that stops aborts no request.
 
-    A request was read 3.6 s after SIGTERM, passed on, and cut 28 ms later. The
-    entry had just closed its listening socket and the connections on which
-    nothing was under way; none was, so it waited a last 20 ms and ended. A
-    connection that the kernel had handed over in that moment was made a turn
-    of the loop later and brought its request. Told by the callers' side:
-
-        3.000 s  front-nbo-west-2 gets SIGTERM
-        6.600 s  request 58fbce063d06aeee sent to front-nbo-west-2
-        6.602 s  reaches server i-add8e0e985 from front-nbo-west-2
-        6.631 s  the connection is closed with no answer
+    An entry read a request 3.6 s after SIGTERM, forwarded it, and closed the
+    connection 28 ms later without an answer. It had just closed its listening
+    socket, saw no connection, waited a last 20 ms and ended; a connection that
+    the kernel had accepted at that moment appeared a turn of the loop later.
     """
 
-    def test_connection_accepted_in_the_last_moment(self, monkeypatch):
-        written = leave_while_one_connects(monkeypatch)
+    def test_connection_accepted_while_the_listener_closes(self, monkeypatch):
+        written = stop_while_a_caller_connects(monkeypatch)
         assert written.startswith(b"HTTP/1.1 200")
         assert b"Connection: close" in written
--- a/tests/test_serving/test_operators.py
+++ b/tests/test_serving/test_operators.py
@@ -19,15 +19,15 @@
 from greengagemoor.serving.settings import ServingSettings
 from tests.test_serving.helpers import Caller, Metrics
 
-PLACES = ("dc1", "dc2")
+DATA_CENTRES = ("dc1", "dc2")
 
 
-class Bench:
-    """Operators' calls, with a control group that is asked by hand."""
+class OperatorsHarness:
+    """Operators' calls, with a control group that the test stands in for."""
 
-    def __init__(self, places=PLACES):
+    def __init__(self, known=DATA_CENTRES):
         cfg = ServingSettings(
-            "10.0.0.2", "dc1", "10.0.0.2:7740", (), data_centres=places
+            "10.0.0.2", "dc1", "10.0.0.2:7740", (), data_centres=known
         )
         self.asks = []
         self.calls = OpenCalls()
@@ -54,7 +54,7 @@
 
 
 class TestEvacuate:
-    """The platform's order."""
+    """The platform's evacuation call."""
 
     @pytest.mark.parametrize(
         ("code", "status"),
@@ -65,46 +65,46 @@
         ],
     )
     def test_answered_when_the_group_has_decided(self, code, status):
-        bench = Bench()
-        caller = bench.order("dc2")
+        harness = OperatorsHarness()
+        caller = harness.order("dc2")
         assert caller.status == 0
-        (ask,) = bench.asks
+        (ask,) = harness.asks
         command = SetEvacuation("dc2", True, 0, 0.0)
         assert ask == Ask(1, OpKind.EVACUATE, 5.9, command)
-        bench.end(code)
+        harness.end(code)
         assert caller.status == status
 
     def test_unknown_data_centre(self):
-        bench = Bench()
-        caller = bench.order("dc9")
+        harness = OperatorsHarness()
+        caller = harness.order("dc9")
         assert caller.status == 400
         assert b"dc9" in caller.body
-        assert not bench.asks
+        assert not harness.asks
 
-    def test_any_where_none_are_told(self):
-        bench = Bench(places=())
-        bench.order("dc9")
-        assert len(bench.asks) == 1
+    def test_any_data_centre_if_none_are_configured(self):
+        harness = OperatorsHarness(known=())
+        harness.order("dc9")
+        assert len(harness.asks) == 1
 
-    def test_operator_that_left(self):
-        """Guards against an answer on a connection that another has now."""
-        bench = Bench()
+    def test_operator_that_disconnected(self):
+        """Guards against an answer on a connection that another caller uses."""
+        harness = OperatorsHarness()
         caller = Caller()
         req = HttpRequest("POST", "/", [], b"", 0.0, caller)
-        bench.operators.take_evacuate(req, EvacuateCall("dc1", True))
-        bench.operators.forget(req)
-        bench.end(Code.ACCEPTED)
+        harness.operators.take_evacuate(req, EvacuateCall("dc1", True))
+        harness.operators.forget(req)
+        harness.end(Code.ACCEPTED)
         assert caller.status == 0
 
 
 class TestPage:
-    """The product's own interface."""
+    """Calls to ``/evacuations``."""
 
     def test_order(self):
-        bench = Bench()
+        harness = OperatorsHarness()
         body = json.dumps({"data_centre": "dc1", "active": True}).encode()
-        caller = bench.call("POST", body=body)
-        bench.end(Code.ACCEPTED, version=3)
+        caller = harness.call("POST", body=body)
+        harness.end(Code.ACCEPTED, version=3)
         assert caller.status == 200
         assert json.loads(caller.body)["number"] == 3
 
@@ -119,30 +119,30 @@
         ],
     )
     def test_malformed(self, body):
-        bench = Bench()
-        assert bench.call("POST", body=body).status == 400
-        assert not bench.asks
+        harness = OperatorsHarness()
+        assert harness.call("POST", body=body).status == 400
+        assert not harness.asks
 
     def test_unknown_data_centre(self):
         body = json.dumps({"data_centre": "dc9", "active": True}).encode()
-        assert Bench().call("POST", body=body).status == 422
+        assert OperatorsHarness().call("POST", body=body).status == 422
 
     def test_list(self):
-        bench = Bench()
-        caller = bench.call("GET")
+        harness = OperatorsHarness()
+        caller = harness.call("GET")
         rows = (Evacuation("dc1", 4, True), Evacuation("dc2", 2, False))
-        bench.end(Code.CURRENT, version=1, evacuations=rows)
+        harness.end(Code.CURRENT, version=1, evacuations=rows)
         listed = json.loads(caller.body)["evacuations"]
         assert [row["active"] for row in listed] == [True, False]
 
     def test_list_without_a_quorum(self):
-        """Guards against an old list that looks like the current one."""
-        bench = Bench()
-        caller = bench.call("GET")
-        bench.end(Code.NOT_ACCEPTED)
+        """Guards against an old list that is reported as current."""
+        harness = OperatorsHarness()
+        caller = harness.call("GET")
+        harness.end(Code.NOT_ACCEPTED)
         assert caller.status == 503
 
     def test_other_paths_and_methods(self):
-        bench = Bench()
-        assert bench.call("GET", "/metrics").body == b"metrics"
-        assert bench.call("PUT").status == 405
+        harness = OperatorsHarness()
+        assert harness.call("GET", "/metrics").body == b"metrics"
+        assert harness.call("PUT").status == 405
--- a/tests/test_serving/test_quarantine.py
+++ b/tests/test_serving/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Operators' calls about requests under which searchers have ended."""
+"""Operators' calls on suspect and quarantined requests."""
 
 from __future__ import annotations
 
@@ -14,35 +14,37 @@
 
 KEYS = tuple(SearcherKey(name, 7) for name in "abc")
 SUSPECT = Suspect(b"s" * 16, ended=KEYS, route="r1")
-REFUSED = Suspect(b"q" * 16, ended=KEYS, failed=KEYS[:1], sure=True, route="r2")
+QUARANTINED = Suspect(
+    b"q" * 16, ended=KEYS, failed=KEYS[:1], sure=True, route="r2"
+)
 WATCHED = Suspect(b"w" * 16, ended=KEYS[:1])
 
 
 class TestPage:
-    """``/quarantine`` beside the metrics."""
+    """Calls to ``/quarantine``, which is served beside the metrics."""
 
     def call(self, method, path=PATH, body=b""):
         table = SuspectTable()
-        for row in (SUSPECT, REFUSED, WATCHED):
+        for row in (SUSPECT, QUARANTINED, WATCHED):
             table.join(row)
-        self.said = []
-        page = QuarantinePage(Metrics(), table, self.said.append)
+        self.messages = []
+        page = QuarantinePage(Metrics(), table, self.messages.append)
         caller = Caller()
         page.take(HttpRequest(method, path, [], body, 0.0, caller))
         return caller
 
     def test_list(self):
         answer = self.call("GET")
-        refused, suspect = json.loads(answer.body)["requests"]
-        assert refused["standing"] == "quarantined"
-        assert refused["ended_in_trial"] == ["a@7"]
+        quarantined, suspect = json.loads(answer.body)["requests"]
+        assert quarantined["standing"] == "quarantined"
+        assert quarantined["ended_in_trial"] == ["a@7"]
         assert suspect["digest"] == SUSPECT.fingerprint.hex()
         assert suspect["route"] == "r1"
 
     def test_clear(self):
-        body = json.dumps({"digest": REFUSED.fingerprint.hex()}).encode()
+        body = json.dumps({"digest": QUARANTINED.fingerprint.hex()}).encode()
         assert self.call("POST", body=body).status == 200
-        assert self.said == [ClearSuspect(REFUSED.fingerprint)]
+        assert self.messages == [ClearSuspect(QUARANTINED.fingerprint)]
 
     @pytest.mark.parametrize(
         ("body", "status"),
@@ -54,9 +56,9 @@
             (b'{"digest": "aa"}', 404),
         ],
     )
-    def test_clear_of_what_is_not_there(self, body, status):
+    def test_clear_with_an_invalid_or_unknown_digest(self, body, status):
         assert self.call("POST", body=body).status == status
-        assert self.said == []
+        assert self.messages == []
 
     def test_other_method(self):
         assert self.call("DELETE").status == 405
