--- a/greengagemoor/platform/__init__.py
+++ b/greengagemoor/platform/__init__.py
@@ -1,4 +1,4 @@
 """Adapter to the users' platform: its names, formats and calls.
 
-It translates and decides nothing; nothing outside it knows these names.
+It only translates and takes no decisions. No other package uses its names.
 """
--- a/greengagemoor/platform/__main__.py
+++ b/greengagemoor/platform/__main__.py
@@ -1,4 +1,4 @@
-"""The program of the platform's deploy file: ``entry`` or ``control``."""
+"""Command of the platform's deploy file: runs ``entry`` or ``control``."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     path = boot.boot_path()
     address = boot.read_caller_address(path)
     listener = sockets.listen(address) if address else None
-    # Most of a start goes into what follows. Callers that come meanwhile wait
-    # in the queue of the socket, where each would be refused twice and fail.
+    # The imports below take most of the start. Meanwhile callers wait in the
+    # queue of the socket; without it each would be refused twice and fail.
     cfg = boot.read_boot(path)
     from greengagemoor.platform.program import run
 
--- a/greengagemoor/platform/boot.py
+++ b/greengagemoor/platform/boot.py
@@ -12,54 +12,56 @@
     from greengagemoor.serving.settings import ServingSettings
 
 BOOT_VARIABLE = "GREENGAGEMOOR_BOOT"
-CALLER_ADDRESS = "listen-addrs.front"
+CALLER_ADDRESS_KEY = "listen-addrs.front"
 ZONE_PREFIX = "zones."
-BYTES_PER_S_OF_MBPS = 125_000
+BYTES_PER_S_PER_MBPS = 125_000
 METRICS_PORT = 9464
-"""As in the deploy file, which names it to the platform."""
+"""Same as in the deploy file, which declares the port to the platform."""
 DEFAULT_PATH = "/etc/greengagemoor/boot.conf"
 
 
 def boot_path() -> Path:
-    """Returns where the settings file lies."""
+    """Returns the path of the settings file."""
     return Path(os.environ.get(BOOT_VARIABLE, DEFAULT_PATH))
 
 
 def read_caller_address(path: Path) -> str:
-    """Reads where callers reach this process; '' if none do or none says.
+    """Reads the callers' address; '' if it isn't set or can't be read.
 
-    It needs no more of this package than its name: a process listens with it
-    before it takes the time to import the rest.
+    It needs few imports of this package, so that a process listens before it
+    spends time on importing the rest.
     """
     try:
-        return _fields(path.read_text()).get(CALLER_ADDRESS, "")
+        return _parse_fields(path.read_text()).get(CALLER_ADDRESS_KEY, "")
     except (OSError, ValueError):
-        # The whole file is read next, and tells what is wrong with it.
+        # ``read_boot`` reads the whole file next and reports the error.
         return ""
 
 
 def read_boot(path: Path) -> ServingSettings:
     """Reads the settings of this process.
 
-    Fields that are not listed here are new or of no use to us.
+    Ignores other fields: they are new or not used here.
 
     Raises:
         SettingsError: a field is missing or malformed.
     """
     try:
-        return _build(_fields(path.read_text()))
+        return _build_settings(_parse_fields(path.read_text()))
     except KeyError as exc:
-        raise SettingsError([f"{path}: {exc.args[0]} is missing"]) from exc
+        raise SettingsError(
+            [f"{path}: field {exc.args[0]} is missing"]
+        ) from exc
     except (OSError, ValueError) as exc:
         raise SettingsError([f"{path}: {exc}"]) from exc
 
 
-def _fields(text: str) -> dict[str, str]:
+def _parse_fields(text: str) -> dict[str, str]:
     pairs = (line.partition("=") for line in text.splitlines() if "=" in line)
     return {key.strip(): value.strip() for key, _, value in pairs}
 
 
-def _build(fields: dict[str, str]) -> ServingSettings:
+def _build_settings(fields: dict[str, str]) -> ServingSettings:
     from greengagemoor.serving.settings import ServingSettings
 
     ip = fields["ip"]
@@ -69,11 +71,11 @@
         instance=ip,
         data_centre=fields["zone"],
         peer_address=f"{ip}:{peer_port}",
-        # These are operators' addresses; our own traffic has one port
-        # everywhere.
+        # The file has the seeds' addresses for operators; traffic between
+        # instances uses the same port everywhere.
         seeds=tuple(f"{s.partition(':')[0]}:{peer_port}" for s in seeds),
         new_group=fields.get("bootstrap") == "true",
-        caller_address=fields.get(CALLER_ADDRESS, ""),
+        caller_address=fields.get(CALLER_ADDRESS_KEY, ""),
         health_address=fields.get("listen-addrs.ready", ""),
         control_address=fields.get("listen-addrs.control", ""),
         directory_address=fields.get("listen-addrs.directory", ""),
@@ -86,7 +88,7 @@
         retry_slack=float(fields.get("bounds.retry-budget-slack", "20")),
         retry_window_s=float(fields.get("bounds.budget-window-s", "10")),
         link_bytes_per_s=float(fields.get("limits.link-mbps", "0"))
-        * BYTES_PER_S_OF_MBPS,
+        * BYTES_PER_S_PER_MBPS,
         data_centres=tuple(
             key.removeprefix(ZONE_PREFIX)
             for key in fields
--- a/greengagemoor/platform/dialect.py
+++ b/greengagemoor/platform/dialect.py
@@ -51,19 +51,19 @@
         b"expect",
     }
 )
-PROMISES = frozenset({408, 421, 429, 503})
-"""Statuses that promise a caller that its request has not run."""
-SECONDS_VALID = 5
-MOST_ADDRESSES = 64
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses that assure a caller that its request was not run."""
+ADDRESSES_VALID_S = 5
+MAX_ADDRESSES = 64
 INSTANCE_CALL = re.compile(r"/v1/instances/([^/]+)/(heartbeat|leave)")
 EVACUATION_CALL = re.compile(r"/v1/evacuation/([^/]+)/(start|finish)")
 JSON_TYPE = ((b"Content-Type", b"application/json"),)
-SAID_STATES = {
+ANNOUNCED_STATES = {
     "ready": SearcherState.READY,
     "draining": SearcherState.DRAINING,
 }
-UNREADABLE = (ValueError, KeyError, TypeError, RecursionError)
-OWN_STATUS = {
+DECODE_ERRORS = (ValueError, KeyError, TypeError, RecursionError)
+FAILURE_STATUS = {
     Ending.SEARCHER_FAILED: 502,
     Ending.BROKEN: 502,
     Ending.BELOW_COVERAGE: 502,
@@ -82,17 +82,17 @@
         """Reads host, id and deadline of a caller's request."""
         host = (req.header(b"host") or "").partition(":")[0].lower()
         text = req.header(DEADLINE)
-        patience = float(text) / 1000 if text and text.isdigit() else None
+        wait_s = float(text) / 1000 if text and text.isdigit() else None
         return d.CallerWords(
-            host, req.header(REQUEST_ID) or "", patience_s=patience
+            host, req.header(REQUEST_ID) or "", patience_s=wait_s
         )
 
     def write_attempt(
         self, req: HttpRequest, searcher_id: str, left_s: float
     ) -> bytes:
-        """Hands a request on; the deadline is what is left of it."""
-        named = (req.header(b"connection") or "").lower().split(",")
-        dropped = {name.strip().encode() for name in named} | HOP_BY_HOP
+        """Returns a request for a searcher, with the remaining time limit."""
+        options = (req.header(b"connection") or "").lower().split(",")
+        dropped = {name.strip().encode() for name in options} | HOP_BY_HOP
         dropped |= {DEADLINE, EXPECT_INSTANCE}
         lines = [f"{req.method} {req.target} HTTP/1.1".encode("latin-1")]
         lines += [
@@ -107,29 +107,29 @@
         return b"\r\n".join([*lines, b"", req.body])
 
     def is_answer_to(self, request_id: str, headers: Headers) -> bool:
-        """Compares the id that the searcher echoes, if it does."""
+        """Compares the id that the searcher echoes; True if it echoes none."""
         echoed = (v for name, v in headers if name.lower() == REQUEST_ID)
         return next(echoed, request_id.encode()) == request_id.encode()
 
     def read_answer(self, answer: HttpAnswer) -> d.SearcherWords:
         """Reads a searcher's answer."""
         headers = {name.lower(): value for name, value in answer.headers}
-        found = SearcherAnswer(
+        content = SearcherAnswer(
             status=answer.status,
             signature=headers.get(SIGNATURE, b"").decode("latin-1"),
-            headers=_kept(answer.headers),
+            headers=_end_to_end_headers(answer.headers),
             body=answer.body,
             is_plain=headers.get(b"content-encoding", b"identity").lower()
             == b"identity",
-            load=_load(headers.get(LOAD)),
+            load=_read_load(headers.get(LOAD)),
             closes=answer.closes,
         )
         if answer.status == 421:
-            return d.SearcherWords(Outcome.WRONG_SEARCHER, found, "421")
+            return d.SearcherWords(Outcome.WRONG_SEARCHER, content, "421")
         if NOT_EXECUTED in headers:
             reason = f"not executed, {answer.status}"
-            return d.SearcherWords(Outcome.NOT_RUN, found, reason)
-        return d.SearcherWords(Outcome.ANSWERED, found)
+            return d.SearcherWords(Outcome.NOT_RUN, content, reason)
+        return d.SearcherWords(Outcome.ANSWERED, content)
 
     def write_answer(self, msg: Respond) -> Reply:
         """Returns the final answer to a caller."""
@@ -141,23 +141,23 @@
         if (
             msg.ending is Ending.SEARCHER_FAILED
             and answer.status >= 300
-            and answer.status not in PROMISES
+            and answer.status not in NOT_RUN_STATUSES
         ):
             return Reply(answer.status, answer.headers, answer.body)
         if msg.ending in NOT_RUN:
             return Reply(503, _retry_after(msg.retry_after_s))
-        return Reply(OWN_STATUS[msg.ending])
+        return Reply(FAILURE_STATUS[msg.ending])
 
     def write_no_document(self) -> Reply:
-        """Not run: this entry knows no document yet."""
+        """Reports that the request was not run, for lack of a document."""
         return Reply(503, _retry_after(0.3))
 
     def write_no_route(self) -> Reply:
-        """No route allows the request."""
+        """Reports that no route matches the request."""
         return Reply(404)
 
     def write_ready(self, ready: bool) -> Reply:
-        """Readiness by status alone."""
+        """Reports readiness by the status only."""
         return Reply(200 if ready else 503)
 
     def read_call(self, req: HttpRequest) -> d.Call | None:
@@ -182,41 +182,41 @@
             return d.LeaveCall(match[1], _read_leaving_start(req.body))
         return d.AnnounceCall(_read_row(match[1], req.body))
 
-    def write_announced(self, again_at: str) -> Reply:
-        """Acknowledges, and names where later announcements go."""
-        return _json(200, {"heartbeat-addr": again_at})
+    def write_announced(self, next_address: str) -> Reply:
+        """Acknowledges, with the address for later announcements."""
+        return _json(200, {"heartbeat-addr": next_address})
 
     def write_unheard(self) -> Reply:
-        """Not acknowledged: the searcher calls the next instance."""
+        """Does not acknowledge, so the searcher calls the next instance."""
         return Reply(503, _retry_after(0.1))
 
     def write_put(self, accepted: bool, faults: str = "") -> Reply:
-        """Acknowledged, invalid, or to be sent again."""
-        return _write_order(accepted, faults)
+        """Reports a put as accepted, invalid or to be retried."""
+        return _write_operator_result(accepted, faults)
 
     def write_evacuated(self, accepted: bool, fault: str = "") -> Reply:
-        """Acknowledged, invalid, or to be sent again."""
-        return _write_order(accepted, fault)
+        """Reports an evacuation as accepted, invalid or to be retried."""
+        return _write_operator_result(accepted, fault)
 
     def write_document(self, text: bytes | None) -> Reply:
-        """The document as it was put."""
+        """Returns the document as it was put."""
         if text is None:
             return Reply(503, _retry_after(0.1))
         return Reply(200, JSON_TYPE, text)
 
     def write_entries(self, entries: list[Subscribe]) -> Reply:
-        """Addresses of entries, and how long they may be kept."""
+        """Returns addresses of entries, and how long they are valid."""
         if not entries:
             return Reply(503, _retry_after(0.2))
-        addresses = [entry.address for entry in entries[:MOST_ADDRESSES]]
-        return _json(200, {"addrs": addresses, "ttl_s": SECONDS_VALID})
+        addresses = [entry.address for entry in entries[:MAX_ADDRESSES]]
+        return _json(200, {"addrs": addresses, "ttl_s": ADDRESSES_VALID_S})
 
     def write_unknown_call(self) -> Reply:
-        """Nothing of ours has that name, or its body is malformed."""
+        """Rejects an unknown or malformed call."""
         return Reply(400)
 
 
-def _write_order(accepted: bool, fault: str) -> Reply:
+def _write_operator_result(accepted: bool, fault: str) -> Reply:
     if fault:
         return _json(400, {"error": fault})
     return _json(200, {}) if accepted else Reply(503, _retry_after(0.1))
@@ -230,7 +230,7 @@
     return ((b"Retry-After", f"{seconds or 0.1:.2f}".encode()),)
 
 
-def _kept(
+def _end_to_end_headers(
     headers: Iterable[tuple[bytes, bytes]],
 ) -> tuple[tuple[bytes, bytes], ...]:
     return tuple(
@@ -251,8 +251,8 @@
     return Reply(200, tuple(headers), merged.body)
 
 
-def _load(value: bytes | None) -> SearcherLoad | None:
-    """Reads ``running,waiting,slots`` and perhaps how slow work is, in %."""
+def _read_load(value: bytes | None) -> SearcherLoad | None:
+    """Reads ``running,waiting,slots`` and an optional slowness in percent."""
     try:
         numbers = [int(part) for part in value.split(b",")] if value else []
     except ValueError:
@@ -261,10 +261,10 @@
 
 
 def _read_row(searcher_id: str, body: bytes) -> SearcherRow:
-    """Reads an announcement; one that another writer wrote is refused whole."""
+    """Reads an announcement; a malformed one is rejected as a whole."""
     try:
         data = json.loads(body)
-        # Of no use to us, but no searcher leaves it out.
+        # Required although unused: every searcher sends it.
         fields.text(data["version"])
         return SearcherRow(
             searcher_id=fields.text(searcher_id),
@@ -272,23 +272,23 @@
             service=fields.text(data["backend"]),
             address=fields.address(data["address"]),
             data_centre=fields.text(data["zone"]),
-            state=SAID_STATES[fields.text(data["state"])],
+            state=ANNOUNCED_STATES[fields.text(data["state"])],
             sequence=fields.whole(data["seq-no"]),
             slots=fields.whole(data["slots"]),
             cold_left_s=fields.number(data["cold-left-ms"]) / 1000,
             start=_read_start(data) or 0,
         )
-    except UNREADABLE as exc:
-        raise InvalidInputError([f"announcement: {exc!r}"]) from exc
+    except DECODE_ERRORS as exc:
+        raise InvalidInputError([f"malformed announcement: {exc!r}"]) from exc
 
 
 def _read_start(data: dict[str, Any]) -> int | None:
-    """Reads which start of a searcher speaks, None if it doesn't say."""
+    """Reads when the searcher started; None if that isn't given."""
     return fields.whole(data["born"]) if "born" in data else None
 
 
 def _read_leaving_start(body: bytes) -> int | None:
     try:
         return _read_start(dict(json.loads(body))) if body else None
-    except UNREADABLE as exc:
-        raise InvalidInputError([f"leave: {exc!r}"]) from exc
+    except DECODE_ERRORS as exc:
+        raise InvalidInputError([f"malformed leave call: {exc!r}"]) from exc
--- a/greengagemoor/platform/documents.py
+++ b/greengagemoor/platform/documents.py
@@ -1,4 +1,4 @@
-"""The operators' document as the platform writes it."""
+"""Decodes operators' documents in the platform's format."""
 
 from __future__ import annotations
 
@@ -29,7 +29,9 @@
     try:
         return _table(json.loads(text))
     except KeyError as exc:
-        raise DocumentError([f"{exc.args[0]} is missing"]) from exc
+        raise DocumentError(
+            [f"missing field or unknown value: {exc.args[0]}"]
+        ) from exc
     except (
         ValueError,
         TypeError,
@@ -37,7 +39,7 @@
         RecursionError,
         OverflowError,
     ) as exc:
-        raise DocumentError([f"not a document: {exc}"]) from exc
+        raise DocumentError([f"malformed document: {exc}"]) from exc
 
 
 def _table(data: dict[str, Any]) -> RouteTable:
--- a/greengagemoor/platform/fields.py
+++ b/greengagemoor/platform/fields.py
@@ -1,4 +1,4 @@
-"""Values of JSON that anybody may have written, checked one by one."""
+"""Checks of single JSON values from untrusted writers."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 from greengagemoor.util.checks import is_ip_port
 
-MOST_CHARACTERS = 1024
-"""Names of the platform have up to 40 characters, addresses 21, prefixes some
-hundred."""
-MOST_WHOLE = 2**63 - 1
-"""What the messages between our processes can carry."""
+MAX_CHARACTERS = 1024
+"""Bound on texts. Names of the platform have up to 40 characters, addresses 21,
+path prefixes some hundred."""
+MAX_INTEGER = 2**63 - 1
+"""Greatest integer in messages between instances."""
 
 
 def text(value: Any) -> str:
-    """Returns a text that isn't empty.
+    """Returns a string that isn't empty.
 
     Raises:
-        TypeError: it is something else.
-        ValueError: it is empty, too long, or has no encoding.
+        TypeError: it is not a string.
+        ValueError: it is empty, too long, or can't be encoded as UTF-8.
     """
     if not isinstance(value, str):
-        raise TypeError(f"{_short(value)} is not a text")
-    if not value or len(value) > MOST_CHARACTERS:
-        raise ValueError(f"a text of {len(value)} characters")
+        raise TypeError(f"{_abbreviate(value)} is not a string")
+    if not value or len(value) > MAX_CHARACTERS:
+        raise ValueError(f"text is empty or too long: {len(value)} characters")
     value.encode()
     return value
 
@@ -33,25 +33,25 @@
     """Returns an IP address and port.
 
     Raises:
-        TypeError: it is no text.
-        ValueError: it is another text.
+        TypeError: it is not a string.
+        ValueError: it is not an IP address and port.
     """
     if not is_ip_port(text(value)):
-        raise ValueError(f"{_short(value)} is not IP:PORT")
+        raise ValueError(f"{_abbreviate(value)} is not IP:PORT")
     return value
 
 
 def whole(value: Any, least: int = 0) -> int:
-    """Returns a whole number; JSON's true and 1.0 are none.
+    """Returns an integer; JSON's true and 1.0 are rejected.
 
     Raises:
-        TypeError: it is something else.
+        TypeError: it is not an integer.
         ValueError: it is out of range.
     """
     if type(value) is not int:
-        raise TypeError(f"{_short(value)} is not a whole number")
-    if not least <= value <= MOST_WHOLE:
-        raise ValueError(f"a number outside {least} to {MOST_WHOLE}")
+        raise TypeError(f"{_abbreviate(value)} is not an integer")
+    if not least <= value <= MAX_INTEGER:
+        raise ValueError(f"number is not within {least} to {MAX_INTEGER}")
     return value
 
 
@@ -59,15 +59,15 @@
     """Returns a finite number that isn't negative.
 
     Raises:
-        TypeError: it is something else.
+        TypeError: it is not a number.
         ValueError: it is out of range.
     """
     if type(value) not in (int, float):
-        raise TypeError(f"{_short(value)} is not a number")
-    if not 0 <= value <= MOST_WHOLE or math.isnan(value):
-        raise ValueError(f"a number outside 0 to {MOST_WHOLE}")
+        raise TypeError(f"{_abbreviate(value)} is not a number")
+    if not 0 <= value <= MAX_INTEGER or math.isnan(value):
+        raise ValueError(f"number is not within 0 to {MAX_INTEGER}")
     return value
 
 
-def _short(value: Any) -> str:
+def _abbreviate(value: Any) -> str:
     return repr(value)[:80]
--- a/greengagemoor/platform/program.py
+++ b/greengagemoor/platform/program.py
@@ -18,8 +18,8 @@
     from greengagemoor.serving.settings import ServingSettings
     from greengagemoor.util.linewriter import LineWriter
 
-RELOAD_S = 1.0
-FLUSH_S = 0.1
+RELOAD_INTERVAL_S = 1.0
+FLUSH_INTERVAL_S = 0.1
 
 
 async def _serve(
@@ -35,10 +35,10 @@
         from greengagemoor.serving.control import ControlApp
 
         app = ControlApp(cfg, PlatformDialect())
-    ending = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ending.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: None)
     await app.start()
     gc.freeze()
@@ -46,7 +46,7 @@
         asyncio.create_task(_watch(app, cfg)),
         asyncio.create_task(_flush(lines)),
     ]
-    await ending.wait()
+    await stop_requested.wait()
     log.event("stop")
     await app.stop()
     log.event("stopped")
@@ -58,13 +58,13 @@
 async def _flush(lines: LineWriter) -> None:
     while True:
         lines.flush()
-        await asyncio.sleep(FLUSH_S)
+        await asyncio.sleep(FLUSH_INTERVAL_S)
 
 
 async def _watch(app, cfg) -> None:
-    """Takes in changed settings; they may change without a signal."""
+    """Applies changed settings; the file may change without a signal."""
     while True:
-        await asyncio.sleep(RELOAD_S)
+        await asyncio.sleep(RELOAD_INTERVAL_S)
         try:
             new = read_boot(boot_path())
         except SettingsError as exc:
@@ -79,11 +79,12 @@
 def run(
     role: str, cfg: ServingSettings, listener: socket.socket | None
 ) -> None:
-    """Serves until a signal ends it.
+    """Runs a role until SIGTERM or SIGINT.
 
     Args:
         role: ``entry`` or ``control``.
         cfg: settings.
-        listener: listens on the callers' address already, if there is one.
+        listener: a socket that already listens on the callers' address, if
+            there is one.
     """
     asyncio.run(_serve(role, cfg, listener))
--- a/tests/test_platform/test_adapter.py
+++ b/tests/test_platform/test_adapter.py
@@ -88,7 +88,7 @@
 
 
 class TestBoot:
-    """Lines of a.b=value."""
+    """The settings file: lines of ``a.b=value``."""
 
     def test_fields(self, tmp_path):
         path = tmp_path / "boot.conf"
@@ -105,7 +105,7 @@
         "text",
         ["", BOOT.replace("ip=", "op="), BOOT.replace("=1200", "=soon")],
     )
-    def test_faults_are_told(self, tmp_path, text):
+    def test_malformed_settings_are_rejected(self, tmp_path, text):
         path = tmp_path / "boot.conf"
         path.write_text(text)
         with pytest.raises(SettingsError):
@@ -148,9 +148,9 @@
 
 
 class TestAttempts:
-    """What searchers are sent, and what they say."""
+    """Requests to searchers, and their answers."""
 
-    def test_headers_of_one_connection_stay_behind(self):
+    def test_hop_by_hop_headers_are_dropped(self):
         req = request(
             headers=[
                 (b"Host", b"h.example"),
@@ -204,13 +204,13 @@
     def test_not_run(self, given, outcome):
         assert DIALECT.read_answer(given).outcome is outcome
 
-    def test_whose_answer(self):
+    def test_id_of_an_answer(self):
         assert DIALECT.is_answer_to("r1", [(b"Request-Id", b"r1")])
         assert not DIALECT.is_answer_to("r1", [(b"Request-Id", b"r2")])
 
 
 class TestAnswers:
-    """What callers get."""
+    """Answers to callers."""
 
     def respond(self, ending, route=None, **more):
         return DIALECT.write_answer(
@@ -225,7 +225,7 @@
         assert (b"Missing-Parts", b"1") in reply.headers
 
     @pytest.mark.parametrize("ending", sorted(m.NOT_RUN, key=str))
-    def test_not_run_says_when_to_come_back(self, ending):
+    def test_not_run_has_a_retry_after_header(self, ending):
         reply = self.respond(ending, retry_after_s=0.25)
         assert reply.status == 503
         assert reply.headers == ((b"Retry-After", b"0.25"),)
@@ -235,7 +235,7 @@
         [(500, 500), (404, 404), (503, 502), (429, 502), (200, 502)],
     )
     def test_failures_of_searchers(self, status, ours):
-        """A searcher's 503 without its promise may have run."""
+        """A request with a 503 may have run unless the searcher denies it."""
         found = m.SearcherAnswer(status, "", (), b"")
         reply = self.respond(Ending.SEARCHER_FAILED, answer=found)
         assert reply.status == ours
@@ -263,11 +263,11 @@
             (Ending.NO_ANSWER, 504),
         ],
     )
-    def test_a_timeout_is_said_only_where_time_was_up(self, ending, status):
-        """Searchers ended, and 5.8 ms later the caller was told of a timeout.
+    def test_timeout_status_only_at_the_time_limit(self, ending, status):
+        """A caller got a time-out status 5.8 ms after searchers ended.
 
-        An answer below the coverage is given up once too many shards have
-        failed, long before any time is up.
+        A request that can't reach its coverage ends once too many shards have
+        failed, long before its time limit.
         """
         assert self.respond(ending).status == status
 
@@ -302,7 +302,7 @@
         with pytest.raises(InvalidInputError):
             self.read("POST", "/v1/instances/i1/heartbeat", body)
 
-    def test_others(self):
+    def test_other_calls(self):
         assert self.read("POST", "/v1/instances/i1/leave") == calls.LeaveCall(
             "i1"
         )
@@ -322,7 +322,7 @@
         call = self.read("POST", f"/v1/evacuation/salle-ain/{order}")
         assert call == calls.EvacuateCall("salle-ain", active)
 
-    def test_no_evacuation(self):
+    def test_unknown_evacuation_calls(self):
         assert self.read("POST", "/v1/evacuation/salle-ain/pause") is None
         assert self.read("GET", "/v1/evacuation/salle-ain/start") is None
 
--- a/tests/test_platform/test_other_writers.py
+++ b/tests/test_platform/test_other_writers.py
@@ -1,4 +1,4 @@
-"""Announcements that something else than a searcher wrote."""
+"""Announcements and documents from writers that follow no format."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def check_row(row):
-    """A row that was taken can be used and told to others."""
+    """Checks that an accepted row is valid and can be sent to others."""
     assert isinstance(row, SearcherRow)
     assert row.state in (SearcherState.READY, SearcherState.DRAINING)
     rows = SearcherRows(1, False, (row,))
@@ -53,18 +53,18 @@
 
 
 class TestStart:
-    """When a searcher started, as it says at the top level."""
+    """The start time in a searcher's announcement, a field at the top level."""
 
     def test_is_read(self):
         assert beat(born=1_790_000_000_123).start == 1_790_000_000_123
 
-    def test_searcher_that_does_not_say(self):
+    def test_is_optional(self):
         assert beat().start == 0
 
     @pytest.mark.parametrize(
         "value", [True, 1.0, "5", None, [], {}, -1, HUGE, 1e300]
     )
-    def test_other_than_a_whole_number(self, value):
+    def test_must_be_a_non_negative_integer(self, value):
         with pytest.raises(InvalidInputError):
             beat(born=value)
 
@@ -82,7 +82,7 @@
 
 
 class TestAnnouncements:
-    """One that can't be read whole names no searcher."""
+    """An announcement with any malformed field is rejected."""
 
     @pytest.mark.parametrize("name", sorted(BEAT))
     def test_missing_field(self, name):
@@ -101,13 +101,13 @@
 
     @pytest.mark.parametrize("name", ["slots", "seq-no"])
     @pytest.mark.parametrize("value", [1.0, "1", 1.5])
-    def test_no_whole_number(self, name, value):
+    def test_must_be_an_integer(self, name, value):
         with pytest.raises(InvalidInputError):
             beat(**{name: value})
 
     @pytest.mark.parametrize("state", ["gone", "lost", "READY", "odd"])
-    def test_state_that_no_searcher_says(self, state):
-        """*gone* and *lost* are our own words of a searcher."""
+    def test_state_that_searchers_do_not_announce(self, state):
+        """*gone* and *lost* are states that only this project assigns."""
         with pytest.raises(InvalidInputError):
             beat(state=state)
 
@@ -123,11 +123,11 @@
             "10.0.0.\u0661:80",
         ],
     )
-    def test_no_address(self, address):
+    def test_invalid_address(self, address):
         with pytest.raises(InvalidInputError):
             beat(address=address)
 
-    def test_text_without_an_encoding(self):
+    def test_text_that_utf8_cannot_encode(self):
         body = json.dumps({**BEAT, "zone": "\ud800"}).encode()
         with pytest.raises(InvalidInputError):
             read(HEARTBEAT, body)
@@ -150,10 +150,10 @@
 
 
 class TestDocuments:
-    """A document with any value in any place is read or refused."""
+    """A document with any value in any field is decoded or rejected."""
 
     @pytest.mark.parametrize("value", [b"1e400", b"-1", b"true", b"NaN"])
-    def test_odd_time_limit(self, value):
+    def test_invalid_time_limit(self, value):
         text = json.dumps(DOCUMENT).encode().replace(b"600", value)
         with pytest.raises(DocumentError):
             read_document(text)
