--- a/greengagemoor/__init__.py
+++ b/greengagemoor/__init__.py
@@ -1,4 +1,4 @@
-"""A query tier over many shards, with its own durable state."""
+"""Query tier over many shards, with a replicated control group."""
 
 from __future__ import annotations
 
--- a/greengagemoor/backends.py
+++ b/greengagemoor/backends.py
@@ -1,4 +1,4 @@
-"""What a backend server says of itself; shared by membership and query."""
+"""Announcements of backend servers; used by membership and query."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 MAX_VERSIONS = 8
 MAX_SHARDS = 20_000
 MAX_GUARDIANS = 4
+"""Instances with which a backend server may renew its announcement."""
 
 
 class ServerState(enum.Enum):
-    """Life of a backend server; only READY takes new work."""
+    """State of a backend server; only READY accepts new requests."""
 
     WARMING = "warming"
     READY = "ready"
@@ -30,10 +31,10 @@
 
 @attrs.frozen
 class HeldVersion:
-    """An index version and the shards of it that one searcher holds.
+    """An index version and the shards of it that a searcher holds.
 
-    The shard count travels with the version, so that a shard that no searcher
-    holds any more is still counted as missing.
+    The shard count is part of the announcement, so that a shard that no
+    searcher holds is still counted as missing.
     """
 
     version: int = attrs.field(validator=in_range(0, 2**53))
@@ -52,15 +53,15 @@
 
 @attrs.frozen
 class BackendServer:
-    """One announcement of one backend server (searcher).
+    """An announcement of a backend server (searcher).
 
     Attributes:
-        incarnation: raised by the server at each start; orders its words
-            together with ``sequence``.
-        connect_cost_s: seconds that a new connection costs.
-        load: reported load, 0 to 1 and over; a hint only.
-        announced_to: instances that it renews its announcement with; they
-            watch for its silence.
+        incarnation: increased by the server at each start; orders its
+            announcements together with ``sequence``.
+        connect_cost_s: seconds to open a new connection.
+        load: reported load, from 0 to 1 or higher; only a hint.
+        announced_to: instances to which it sends renewals, and which detect
+            when the renewals stop.
     """
 
     name: str = attrs.field(validator=is_name)
@@ -87,5 +88,5 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """Later words of the same server compare greater."""
+        """Sort key: later announcements of a server compare greater."""
         return (self.incarnation, self.sequence)
--- a/greengagemoor/claims.py
+++ b/greengagemoor/claims.py
@@ -1,4 +1,4 @@
-"""Turns claims and outcomes of the query decider into ledger operations."""
+"""Converts claims and outcomes of the query decider to ledger operations."""
 
 from __future__ import annotations
 
@@ -22,13 +22,20 @@
     from greengagemoor.query.messages import ClaimWanted
 
 CLAIM_WAIT_S = 1.5
+"""Seconds for which an entry waits for the ledger's answer to a claim."""
 CLAIM_VALID_S = 10.0
+"""Seconds for which a granted claim allows sending."""
 OUTCOME_WAIT_S = 60.0
+"""Seconds for which an entry tries to record an outcome."""
 
 
 @values.frozen
 class ClaimToken:
-    """Marks the ledger's answer to a claim."""
+    """Identifies the claim that a reply of the ledger belongs to.
+
+    Attributes:
+        send_before: time after which nothing may be sent under the claim.
+    """
 
     token: int
     caller: str
@@ -38,11 +45,11 @@
 
 @values.frozen
 class OutcomeToken:
-    """Marks the ledger's answer to an outcome; nobody waits for it."""
+    """Marks replies to recorded outcomes, which are not waited for."""
 
 
 class Claims:
-    """Claims under way in this process, by the token of their request."""
+    """Claims in progress in this process, by the token of their request."""
 
     def __init__(self):
         self._claim_ids: dict[int, str] = {}
@@ -50,8 +57,8 @@
     def ask(self, me: InstanceRow, now: float, msg: ClaimWanted) -> Ask:
         """Returns the operation that claims a request.
 
-        The claim id names this try of this process: only it may send, and
-        only its outcome counts.
+        The claim id identifies this claim of this process: only its holder
+        may send the request, and only its holder's outcome is recorded.
         """
         claim_id = f"{me.name}/{me.incarnation}/{msg.token}"
         self._claim_ids[msg.token] = claim_id
@@ -72,7 +79,10 @@
         return Ask(token, OpKind.CLAIM, now + CLAIM_WAIT_S, command)
 
     def record(self, now: float, msg: OutcomeKnown) -> Ask | None:
-        """Returns the operation that records an outcome, None if not ours."""
+        """Returns the operation that records an outcome.
+
+        None if this process has no claim for the request.
+        """
         claim_id = self._claim_ids.pop(msg.token, None)
         if claim_id is None:
             return None
@@ -88,7 +98,7 @@
         return Ask(OutcomeToken(), OpKind.OUTCOME, deadline, command)
 
     def decided(self, done: Done) -> ClaimDecided:
-        """Returns what the query decider is told of a claim."""
+        """Returns the result of a claim for the query decider."""
         token: ClaimToken = done.token
         return ClaimDecided(
             token=token.token,
@@ -100,10 +110,11 @@
         )
 
     def give_back(self, now: float, done: Done) -> Ask | None:
-        """Returns the operation that ends a claim which was not granted.
+        """Returns the operation that releases a claim that was not granted.
 
-        A claim that nobody answered in time may still be granted later;
-        recording "not run" lets the caller come back with the same id.
+        A claim that was not answered in time may still be granted later;
+        recording "not run" lets the caller retry with the same id. None if
+        there is nothing to release.
         """
         token: ClaimToken = done.token
         if _verdict(done) is ClaimVerdict.GRANTED:
--- a/greengagemoor/codes.py
+++ b/greengagemoor/codes.py
@@ -1,4 +1,4 @@
-"""Numbered result codes: each states what happened to a request.
+"""Numbered result codes of requests, document changes and announcements.
 
 The hundreds group them: 1 answered, 2 not run, 3 failed, 4 unknown, 5 control,
 6 announcements. docs/RESULT-CODES.md is checked against this table by a test.
@@ -12,7 +12,7 @@
 
 
 class Code(enum.IntEnum):
-    """Result of a request, an apply or an announcement."""
+    """Result of a request, a document change or an announcement."""
 
     WHOLE = 100
     PARTIAL = 110
@@ -45,7 +45,7 @@
 
 
 class ClaimVerdict(enum.Enum):
-    """What the ledger said of a claim."""
+    """The ledger's decision on a claim."""
 
     GRANTED = "granted"
     IN_PROGRESS = "in_progress"
@@ -57,28 +57,30 @@
 
 @values.frozen
 class CodeInfo:
-    """How a code is shown: its HTTP status and its meaning."""
+    """HTTP status and meaning of a code."""
 
     http_status: int
     meaning: str
 
 
 CODE_TABLE: dict[Code, CodeInfo] = {
-    Code.WHOLE: CodeInfo(200, "every shard of the snapshot is reflected"),
+    Code.WHOLE: CodeInfo(200, "the answer covers every shard of the snapshot"),
     Code.PARTIAL: CodeInfo(200, "some shards are missing; each has a reason"),
-    Code.NOT_RUN_OVERLOAD: CodeInfo(429, "refused at admission: too much load"),
+    Code.NOT_RUN_OVERLOAD: CodeInfo(429, "refused at admission: overload"),
     Code.NOT_RUN_DEADLINE: CodeInfo(
-        429, "refused: the expected wait passes the deadline"
+        429, "refused: the expected wait exceeds the deadline"
+    ),
+    Code.NOT_RUN_LEAVING: CodeInfo(
+        503, "this entry is shutting down; use another"
     ),
-    Code.NOT_RUN_LEAVING: CodeInfo(503, "this entry is leaving; ask another"),
     Code.NOT_RUN_NO_CONTROL: CodeInfo(
         503, "a claim could not be confirmed, so nothing was sent"
     ),
     Code.NOT_RUN_NO_REPLICA: CodeInfo(
-        503, "no live backend server holds what was asked for"
+        503, "no live backend server holds the requested data"
     ),
     Code.NOT_RUN_REFUSED: CodeInfo(
-        503, "every backend server asked refused before running it"
+        503, "every backend server that was asked refused to run it"
     ),
     Code.NOT_RUN_UNKNOWN_SERVICE: CodeInfo(
         404, "the document has no such service or request class"
@@ -87,25 +89,29 @@
     Code.NOT_RUN_NOT_READY: CodeInfo(
         503, "this entry has no confirmed document yet"
     ),
-    Code.FAILED: CodeInfo(502, "it ran and the backend server said it failed"),
+    Code.FAILED: CodeInfo(
+        502, "it ran and the backend server reported a failure"
+    ),
     Code.BELOW_COVERAGE: CodeInfo(
-        504, "coverage stayed below the class's least; results are withheld"
+        504, "coverage is below the class's minimum; results are withheld"
     ),
-    Code.UNKNOWN: CodeInfo(504, "it may have run; the outcome is not known"),
+    Code.UNKNOWN: CodeInfo(504, "it may have run; the outcome is unknown"),
     Code.UNKNOWN_EXPIRED: CodeInfo(
-        410, "the id is older than the kept window; it may have run before"
+        410, "the id is older than the ledger's window; it may have run before"
     ),
-    Code.IN_PROGRESS: CodeInfo(409, "the same id is running now"),
+    Code.IN_PROGRESS: CodeInfo(409, "a request with this id is running"),
     Code.ACCEPTED: CodeInfo(200, "the change is committed and synced"),
-    Code.CONFLICT: CodeInfo(409, "another change won this version number"),
-    Code.INVALID: CodeInfo(422, "the change is refused whole"),
-    Code.NOT_ACCEPTED: CodeInfo(503, "not accepted, and never will be"),
+    Code.CONFLICT: CodeInfo(409, "another change was accepted as this version"),
+    Code.INVALID: CodeInfo(422, "the change is invalid and refused as a whole"),
+    Code.NOT_ACCEPTED: CodeInfo(
+        503, "the change was not accepted and never will be"
+    ),
     Code.APPLY_UNKNOWN: CodeInfo(
-        504, "may have been accepted; resend the same apply id"
+        504, "the change may have been accepted; resend the same apply id"
     ),
     Code.NOT_LEADER: CodeInfo(503, "this instance does not lead the group"),
     Code.CURRENT: CodeInfo(200, "confirmed by a quorum as current"),
-    Code.ANNOUNCED: CodeInfo(200, "the announcement is in the table"),
+    Code.ANNOUNCED: CodeInfo(200, "the announcement is recorded"),
     Code.ANNOUNCEMENT_STALE: CodeInfo(
         409, "a newer announcement of this backend server is known"
     ),
@@ -120,5 +126,5 @@
 
 
 def is_not_run(code: Code) -> bool:
-    """Tells whether the code promises that no attempt started."""
+    """Returns whether the code guarantees that no attempt has started."""
     return Code.NOT_RUN_OVERLOAD <= code < Code.FAILED
--- a/greengagemoor/config.py
+++ b/greengagemoor/config.py
@@ -1,4 +1,4 @@
-"""Settings of one process: each value with default, type, check and help."""
+"""Settings of an instance: type, default, validators and description."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 def value(default=attrs.NOTHING, *checks, doc: str):
-    """Declares one setting.
+    """Declares a setting.
 
     Args:
-        default: the value when the file has none; NOTHING makes it required.
+        default: value if the file has none; NOTHING makes it required.
         *checks: validators, applied in order.
-        doc: one line for ``greengagemoord --explain-settings`` and the docs.
+        doc: one line for ``greengagemoorctl explain-settings`` and the docs.
     """
     return attrs.field(
         default=default, validator=list(checks), metadata={"doc": doc}
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class PeerSettings:
-    """Another process of ours that this one may start from."""
+    """Name and address of another instance."""
 
     instance: str = value(attrs.NOTHING, is_name, doc="name of the instance")
     address: str = value(attrs.NOTHING, is_address, doc="its peer IP:PORT")
@@ -49,7 +49,7 @@
         attrs.NOTHING, is_name, doc="name of this instance, unique in the fleet"
     )
     data_centre: str = value(
-        attrs.NOTHING, is_name, doc="data centre this instance stands in"
+        attrs.NOTHING, is_name, doc="data centre of this instance"
     )
     region: str = value("region-1", is_name, doc="region of the data centre")
     roles: tuple[str, ...] = value(
@@ -62,21 +62,24 @@
         attrs.NOTHING, is_address, doc="IP:PORT for callers and operators"
     )
     peer_address: str = value(
-        attrs.NOTHING, is_address, doc="IP:PORT for processes of ours"
+        attrs.NOTHING, is_address, doc="IP:PORT for other instances"
     )
     control_group: tuple[PeerSettings, ...] = value(
         (),
         unique_by(lambda peer: peer.instance),
-        doc="first voters of the control group; used for a new group only",
+        doc="initial voters of the control group; used for a new group only",
     )
     seeds: tuple[PeerSettings, ...] = value(
         (),
         unique_by(lambda peer: peer.instance),
-        doc="processes asked first for the membership table",
+        doc="instances that are first asked for the membership table",
+    )
+    data_folder: str = value(
+        "", doc="folder for durable state; required for the control role"
     )
-    data_folder: str = value("", doc="folder for durable state (control)")
     new_group: bool = value(
-        False, doc="an empty data folder may start the group named above"
+        False,
+        doc="with an empty data folder, may start the group in control_group",
     )
     http_threads: int = value(
         48, in_range(4, 2000), doc="threads that serve HTTP connections"
@@ -85,7 +88,9 @@
         32, in_range(1, 1900), doc="requests that may wait for an answer"
     )
     attempt_threads: int = value(
-        64, in_range(1, 2000), doc="attempts to backend servers under way"
+        64,
+        in_range(1, 2000),
+        doc="attempts to backend servers that may run at once",
     )
     max_body_bytes: int = value(
         1_048_576, in_range(1024, 64_000_000), doc="largest HTTP body accepted"
@@ -94,38 +99,46 @@
         16_384, in_range(1024, 1_048_576), doc="largest HTTP header accepted"
     )
     read_timeout_s: float = value(
-        5.0, in_range(0.1, 600), doc="longest wait for bytes of a request"
+        5.0, in_range(0.1, 600), doc="maximum wait for bytes of a request"
     )
     gossip_interval_s: float = value(
         0.5, in_range(0.01, 60), doc="time between anti-entropy rounds"
     )
     heartbeat_s: float = value(
-        0.15, in_range(0.005, 60), doc="control leader's heartbeat interval"
+        0.15,
+        in_range(0.005, 60),
+        doc="heartbeat interval of the control leader",
     )
     election_s: float = value(
         1.0, in_range(0.02, 600), doc="shortest election timeout"
     )
     addresses_valid_s: float = value(
-        5.0, in_range(0.1, 3600), doc="how long callers may keep addresses"
+        5.0,
+        in_range(0.1, 3600),
+        doc="seconds for which callers may cache addresses",
     )
     leave_margin_s: float = value(
-        1.0, in_range(0.0, 600), doc="extra time served after leaving"
+        1.0,
+        in_range(0.0, 600),
+        doc="extra seconds of serving after addresses expire",
+    )
+    seed: int = value(
+        0, doc="seed of the deciders' random generator; 0: from the name"
     )
-    seed: int = value(0, doc="seed of the deciders' random source; 0 = by name")
     log_level: str = value(
         "INFO",
         one_of("DEBUG", "INFO", "WARNING", "ERROR"),
-        doc="least severe event that is logged",
+        doc="minimum level of logged events",
     )
 
     def __attrs_post_init__(self):
         if not self.roles:
-            raise ValueError("roles: at least one role is needed")
+            raise ValueError("roles: empty, expected at least one role")
         if self.is_control and not self.data_folder:
-            raise ValueError("data_folder: the control role needs one")
+            raise ValueError("data_folder: required for the control role")
         if self.http_threads < self.waiting_requests + 4:
             raise ValueError(
-                "http_threads: at least waiting_requests + 4 are needed, so "
+                "http_threads: must be at least waiting_requests + 4, so "
                 "that refusals are answered while all requests wait"
             )
 
@@ -144,7 +157,7 @@
     """Reads and checks a settings file.
 
     Raises:
-        SettingsError: with every fault and its JSON path.
+        SettingsError: lists every fault with its JSON path.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
--- a/greengagemoor/document.py
+++ b/greengagemoor/document.py
@@ -1,4 +1,4 @@
-"""The operators' document: services, backend servers and request classes."""
+"""Document of the operators: services, backend servers, request classes."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class RequestClass:
-    """Rules for one kind of request; times in seconds, shares of 1."""
+    """Rules for one kind of request; times in seconds, shares from 0 to 1."""
 
     name: str = attrs.field(validator=is_name)
     repeatable: bool = True
@@ -72,13 +72,13 @@
             raise ValueError("default_deadline_s: longer than max_deadline_s")
         if not self.repeatable and self.share_answers:
             raise ValueError(
-                "share_answers: a class that is not repeatable can't share"
+                "share_answers: must be false unless repeatable is true"
             )
 
 
 @attrs.frozen
 class AllowedServer:
-    """A backend server that may announce itself for a service."""
+    """A backend server that may announce itself for the service."""
 
     name: str = attrs.field(validator=is_name)
     connection_cap: int = attrs.field(
@@ -89,7 +89,7 @@
 
 @attrs.frozen
 class Service:
-    """A service, who may serve it, and how its requests are treated."""
+    """A service, its permitted backend servers and its request classes."""
 
     name: str = attrs.field(validator=is_name)
     backend_servers: tuple[AllowedServer, ...] = attrs.field(
@@ -105,7 +105,7 @@
 
     def __attrs_post_init__(self):
         if not self.request_classes:
-            raise ValueError("request_classes: at least one is needed")
+            raise ValueError("request_classes: empty, expected at least one")
 
     def request_class(self, name: str) -> RequestClass | None:
         """Returns the class of that name, or None."""
@@ -114,13 +114,18 @@
 
 @attrs.frozen
 class Document:
-    """One whole configuration; it replaces the one before it whole.
+    """A complete configuration; it replaces the previous one as a whole.
 
     Attributes:
-        entries: names of the instances that may serve callers; connection
-            caps are divided over these names, so the list bounds the sum.
+        entries: names of the instances that may serve callers; each holds
+            one part of every connection cap, so that this list bounds the
+            sum of connections.
         connection_places: parts into which each connection cap is divided;
-            one entry may hold one part, so spare places cost unused cap.
+            an entry holds one, and parts without an entry stay unused.
+        silent_after_s: seconds without an announcement after which a backend
+            server is dropped.
+        ledger_window_s: seconds for which the ids of requests that run at
+            most once are kept.
     """
 
     services: tuple[Service, ...] = attrs.field(
@@ -145,30 +150,30 @@
             raise ValueError(
                 f"entries: {len(self.entries)} names, {places} places"
             )
-        starved = [
+        too_small = [
             f"{service.name}/{server.name}"
             for service in self.services
             for server in service.backend_servers
             if server.connection_cap < places
         ]
-        if starved:
+        if too_small:
             raise ValueError(
-                f"connection_cap: below {places} connection_places on "
-                f"{', '.join(starved[:5])}"
+                f"connection_cap: less than {places} connection_places on "
+                f"{', '.join(too_small[:5])}"
             )
 
     def service(self, name: str) -> Service | None:
-        """Returns the service of that name, or None; linear, for tools."""
+        """Returns the service of that name, or None; searches linearly."""
         return next((s for s in self.services if s.name == name), None)
 
 
 def parse_document(text: str | bytes) -> Document:
-    """Builds a document from JSON text.
+    """Parses a document from JSON text.
 
     Raises:
-        DocumentError: with every fault and its JSON path.
+        DocumentError: lists every fault with its JSON path.
     """
-    # The registries that names are checked against fill on import.
+    # Importing these modules fills the registries used for validation.
     from greengagemoor.query import choosing, completion  # noqa: F401
 
     try:
--- a/greengagemoor/errors.py
+++ b/greengagemoor/errors.py
@@ -1,4 +1,4 @@
-"""The exception tree: every error raised on purpose is a GreengagemoorError."""
+"""Exceptions of this package; their base is GreengagemoorError."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class GreengagemoorError(Exception):
-    """Base of all errors raised by this package."""
+    """Base class of all errors that this package raises deliberately."""
 
 
 class RegistryError(GreengagemoorError):
-    """A name is unknown to a registry, or registered twice."""
+    """A name is not registered, or is registered twice."""
 
 
 class InvalidInputError(GreengagemoorError):
-    """A JSON input was refused whole.
+    """A JSON input is invalid and rejected as a whole.
 
     Attributes:
-        faults: one line for each fault, with its JSON path.
+        faults: a line for each fault, with its JSON path.
     """
 
     def __init__(self, faults: Sequence[str]):
@@ -29,11 +29,11 @@
 
 
 class SettingsError(InvalidInputError):
-    """The settings file of a process is invalid."""
+    """The settings file of an instance is invalid."""
 
 
 class DocumentError(InvalidInputError):
-    """An operators' document is invalid."""
+    """A document from an operator is invalid."""
 
 
 class StorageError(GreengagemoorError):
@@ -41,20 +41,20 @@
 
 
 class FolderLockedError(StorageError):
-    """Another process holds the data folder."""
+    """Another process has locked the data folder."""
 
 
 class FolderMismatchError(StorageError):
-    """The data folder has another owner or format version."""
+    """The data folder has a different owner or format version."""
 
 
 class CorruptRecordError(StorageError):
-    """A record that had been synced no longer matches its checksum."""
+    """A synced record does not match its checksum."""
 
 
 class SyncFailedError(StorageError):
-    """A sync failed: nothing written since the last one counts as durable."""
+    """A sync failed; data written since the previous sync is not durable."""
 
 
 class WireError(GreengagemoorError):
-    """A message between our own processes can't be encoded or decoded."""
+    """A message between instances can't be encoded or decoded."""
--- a/greengagemoor/events.py
+++ b/greengagemoor/events.py
@@ -1,4 +1,4 @@
-"""Events that embedders and the shell's own parts may listen to."""
+"""Events of an application, to which listeners can be connected."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Events:
-    """Calls the listeners of an event, in the order they were added."""
+    """Listeners by event; they are called in the order they were added."""
 
     def __init__(self):
         self._listeners: dict[str, list[Callable[[Any], None]]] = defaultdict(
@@ -36,16 +36,16 @@
         )
 
     def connect(self, name: str, listener: Callable[[Any], None]) -> None:
-        """Adds a listener.
+        """Adds a listener to an event.
 
         Raises:
-            RegistryError: no event has that name.
+            RegistryError: there is no event of that name.
         """
         if name not in NAMES:
             raise RegistryError(f"unknown event {name!r}")
         self._listeners[name].append(listener)
 
     def emit(self, name: str, subject: Any) -> None:
-        """Calls every listener of the event with its subject."""
+        """Calls every listener of the event with ``subject``."""
         for listener in self._listeners[name]:
             listener(subject)
--- a/greengagemoor/log.py
+++ b/greengagemoor/log.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs for each event."""
+"""Writes log events as lines of key=value pairs."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 from greengagemoor.util.linewriter import LineWriter
 
-MOST_FRAMES = 8
+MAX_FRAMES = 8
+"""Innermost stack frames of an exception that are logged."""
 _FORMAT = "time={time:YYYY-MM-DDTHH:mm:ss.SSSZZ} level={level} {message}"
 
-_plain: LineWriter | None = None
+_line_writer: LineWriter | None = None
 
 
 def set_up(level: str, instance: str) -> None:
@@ -28,19 +29,21 @@
 
 
 def pairs(**fields: Any) -> str:
-    """Returns fields as key=value pairs; texts with spaces are quoted."""
-    return " ".join(f"{key}={_show(value)}" for key, value in fields.items())
+    """Formats fields as key=value pairs; quotes values where needed."""
+    return " ".join(
+        f"{key}={_format_value(value)}" for key, value in fields.items()
+    )
 
 
-def _show(value: Any) -> str:
+def _format_value(value: Any) -> str:
     text = f"{value:.6g}" if isinstance(value, float) else str(value)
-    plain = text and all(c.isprintable() and c not in ' "=' for c in text)
-    return text if plain else json.dumps(text)
+    is_plain = text and all(c.isprintable() and c not in ' "=' for c in text)
+    return text if is_plain else json.dumps(text)
 
 
 def where(exc: BaseException) -> str:
-    """Returns where an exception came from, innermost last, on one line."""
-    frames = traceback.extract_tb(exc.__traceback__)[-MOST_FRAMES:]
+    """Returns the stack frames of an exception on one line, innermost last."""
+    frames = traceback.extract_tb(exc.__traceback__)[-MAX_FRAMES:]
     return " ".join(
         f"{Path(frame.filename).name}:{frame.lineno}:{frame.name}"
         for frame in frames
@@ -50,27 +53,27 @@
 def set_up_plain(instance: str) -> LineWriter:
     """Sends log lines to standard output without ever blocking.
 
-    loguru stays out of these processes: its import costs memory in each of
-    them, and its sinks wait for a reader that has stopped reading.
+    loguru is not used here: its import costs memory in each process, and its
+    sinks block when the reader has stopped reading.
 
     Returns:
-        The writer; someone must call its ``flush`` regularly.
+        The writer; the caller must call its ``flush`` regularly.
     """
-    global _plain
-    _plain = LineWriter(sys.stdout.fileno(), instance)
-    return _plain
+    global _line_writer
+    _line_writer = LineWriter(sys.stdout.fileno(), instance)
+    return _line_writer
 
 
 def lines_lost() -> int:
-    """Returns how many lines a slow reader has cost so far."""
-    return _plain.dropped if _plain is not None else 0
+    """Returns how many lines were dropped so far because of a slow reader."""
+    return _line_writer.dropped if _line_writer is not None else 0
 
 
 def event(name: str, level: str = "INFO", **fields: Any) -> None:
-    """Logs one event."""
-    if _plain is not None:
+    """Logs an event, if its level is enabled."""
+    if _line_writer is not None:
         if level != "DEBUG":
-            _plain.write(level, pairs(event=name, **fields))
+            _line_writer.write(level, pairs(event=name, **fields))
         return
     from loguru import logger
 
--- a/greengagemoor/metrics.py
+++ b/greengagemoor/metrics.py
@@ -1,4 +1,4 @@
-"""Histograms for each caller and request class, bounded in number."""
+"""Answer metrics by caller and request class, with a bounded series count."""
 
 from __future__ import annotations
 
@@ -15,18 +15,21 @@
     from greengagemoor.query.messages import Reply
 
 MAX_SERIES = 200
+"""Pairs of caller and request class that have their own series."""
 MAX_CODES = 100
 OTHERS = "others"
 LONGEST_US = 3_600_000_000
+"""Longer latencies are recorded as this many microseconds."""
 DIGITS = 2
+"""Significant digits that the histograms keep."""
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
-MOST_ATTEMPTS = 100_000
+MAX_ATTEMPTS = 100_000
 MICROSECONDS = 1_000_000
 
 
 @attrs.frozen
 class SeriesKey:
-    """What a series counts: one caller's requests of one class."""
+    """Identifies a series: the caller and the request class."""
 
     caller: str
     request_class: str
@@ -38,7 +41,7 @@
 
     Attributes:
         measure: latency_us, coverage_percent or attempts.
-        values: by the quantiles of ``QUANTILES``.
+        values: one for each of ``QUANTILES``.
     """
 
     caller: str
@@ -57,15 +60,15 @@
         factory=lambda: HdrHistogram(1, 100, DIGITS)
     )
     attempts: HdrHistogram = attrs.field(
-        factory=lambda: HdrHistogram(1, MOST_ATTEMPTS, DIGITS)
+        factory=lambda: HdrHistogram(1, MAX_ATTEMPTS, DIGITS)
     )
 
 
 class Metrics:
-    """Counts answers; callers beyond the bound share one series.
+    """Counts answers; beyond ``MAX_SERIES``, callers share one series.
 
-    A caller may choose its name, so without the bound a faulty one that makes
-    names up would fill the memory of every entry.
+    Callers choose their own names: without the bound, a faulty caller that
+    sends ever new names would exhaust the memory of every entry.
     """
 
     def __init__(self):
@@ -75,7 +78,7 @@
         self._totals: Counter[str] = Counter()
 
     def note_reply(self, reply: Reply) -> None:
-        """Counts one answer."""
+        """Records one answer."""
         with self._lock:
             key = self._key(SeriesKey(reply.caller, reply.request_class))
             series = self._series.setdefault(key, _Series())
@@ -85,7 +88,7 @@
             if answer.coverage.shards:
                 share = len(answer.coverage.reflected) / answer.coverage.shards
                 series.coverage.record_value(int(100 * share))
-            series.attempts.record_value(min(answer.attempts, MOST_ATTEMPTS))
+            series.attempts.record_value(min(answer.attempts, MAX_ATTEMPTS))
             self._codes[(key.request_class, int(answer.code))] += 1
 
     def _key(self, key: SeriesKey) -> SeriesKey:
@@ -94,26 +97,26 @@
         return SeriesKey(OTHERS, OTHERS)
 
     def count(self, name: str, number: int = 1) -> None:
-        """Adds to a total."""
+        """Adds ``number`` to the total called ``name``."""
         with self._lock:
             self._totals[name] += number
 
     def rows(self) -> list[QuantileRow]:
-        """Returns the quantiles of every series."""
+        """Returns the quantiles of each measure of every series."""
         with self._lock:
             return [
                 row
                 for key, series in sorted(
                     self._series.items(), key=lambda item: str(item[0])
                 )
-                for row in _rows_of(key, series)
+                for row in _quantile_rows(key, series)
             ]
 
     def text(self, extra: dict[str, float]) -> str:
-        """Returns all metrics in the Prometheus text form.
+        """Returns all metrics in the Prometheus text format.
 
         Args:
-            extra: more gauges by name.
+            extra: additional gauges by name.
         """
         lines = [
             f'greengagemoor_{row.measure}{{caller="{_escape(row.caller)}",'
@@ -136,7 +139,7 @@
         return "\n".join(lines) + "\n"
 
 
-def _rows_of(key: SeriesKey, series: _Series) -> Iterator[QuantileRow]:
+def _quantile_rows(key: SeriesKey, series: _Series) -> Iterator[QuantileRow]:
     measures = {
         "latency_us": series.latency,
         "coverage_percent": series.coverage,
--- a/greengagemoor/registry.py
+++ b/greengagemoor/registry.py
@@ -1,4 +1,4 @@
-"""Registries that decorators fill, for behaviour that varies by name."""
+"""Registries of interchangeable behaviour by name, filled by decorators."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class Registry(Generic[T]):
-    """Named choices of one kind of behaviour."""
+    """Named implementations of one kind of behaviour."""
 
     def __init__(self, kind: str):
         self.kind = kind
         self._items: dict[str, T] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
-        """Returns a decorator that adds its target under ``name``.
+        """Returns a decorator that registers its target as ``name``.
 
         Raises:
-            RegistryError: the name is taken.
+            RegistryError: the name is already registered.
         """
 
         def add(item: T) -> T:
@@ -33,10 +33,10 @@
         return add
 
     def get(self, name: str) -> T:
-        """Returns the item of that name.
+        """Returns the item registered as ``name``.
 
         Raises:
-            RegistryError: no item has that name.
+            RegistryError: there is no such item.
         """
         try:
             return self._items[name]
@@ -55,7 +55,7 @@
 
 
 choosers: Registry = Registry("chooser")
-"""How to place missing shards on searchers (query/choosing.py)."""
+"""Strategies that assign missing shards to searchers (query/choosing.py)."""
 
 completions: Registry = Registry("completion")
-"""When an answer is complete (query/completion.py)."""
+"""Rules for when an answer is complete (query/completion.py)."""
