--- a/greengagemoor/application.py
+++ b/greengagemoor/application.py
@@ -1,4 +1,4 @@
-"""Wires deciders, shells and hooks of one process."""
+"""Assembles the deciders, the shell and the hooks of one process."""
 
 from __future__ import annotations
 
@@ -39,20 +39,23 @@
     from greengagemoor.config import Settings
     from greengagemoor.control.status import ControlStatus
 
-IDLE_LOOK_S = 0.02
+IDLE_POLL_S = 0.02
 OVERLOAD_HOLD_S = 3.0
-LONGEST_FINISH_S = 600.0
+"""Seconds for which an entry reports overload after its last refusal."""
+MAX_DRAIN_S = 600.0
+"""Seconds for which a shutdown waits for running requests at most."""
 
 
 class Application:
     """One process: an entry, a control instance, or both.
 
-    Embedders add to it before ``start``: ``add_route`` for HTTP paths,
-    ``add_listener`` for events, ``add_handler`` for messages of the deciders.
+    Embedders extend it before ``start``: ``add_route`` adds HTTP paths,
+    ``add_listener`` listeners of events, ``add_handler`` handlers for messages
+    of the deciders.
     """
 
     def __init__(self, cfg: Settings):
-        """Builds all parts; nothing listens or is read yet."""
+        """Builds all parts; opens no sockets and recovers no state yet."""
         self.cfg = cfg
         self.clock = Clock()
         self.metrics = Metrics()
@@ -87,7 +90,7 @@
         self._connect()
 
     def add_route(self, method: str, pattern: str, handler: Callable) -> None:
-        """Adds an HTTP path; ``handler`` takes a ``routes.HttpRequest``."""
+        """Adds an HTTP path; ``handler`` receives a ``routes.HttpRequest``."""
         self.routes.append(routes.Route(method, re.compile(pattern), handler))
 
     def add_listener(self, name: str, listener: Callable[[Any], None]) -> None:
@@ -95,7 +98,7 @@
         self.events.connect(name, listener)
 
     def add_handler(self, kind: type, handler: Callable[[Any], None]) -> None:
-        """Sets what is done with a kind of message that the node sends."""
+        """Sets the handler for a type of message that the node emits."""
         self._loop.add_handler(kind, handler)
 
     def _make_node(self) -> Node:
@@ -105,7 +108,7 @@
         seeds = {p.instance: p.address for p in cfg.seeds} | group
         return Node(
             MembershipDecider(
-                self._own_row(), seeds, rng, self._membership_timing()
+                self._make_own_row(), seeds, rng, self._membership_timing()
             ),
             rng,
             query_decider=(
@@ -115,7 +118,7 @@
             control_targets=group or ([cfg.instance] if cfg.is_control else ()),
         )
 
-    def _own_row(self) -> InstanceRow:
+    def _make_own_row(self) -> InstanceRow:
         cfg = self.cfg
         return InstanceRow(
             name=cfg.instance,
@@ -155,7 +158,7 @@
     def _connect(self) -> None:
         give = self._replies.give
         add = self._loop.add_handler
-        add(query.Reply, self._take_reply)
+        add(query.Reply, self._handle_reply)
         add(membership.AnnounceReply, lambda m: give(m.token, m))
         add(membership.Addresses, lambda m: give(m.token, m))
         add(Done, lambda m: give(m.token, m))
@@ -166,7 +169,7 @@
             add(control.Persist, self._disk.write)
         notes.connect(add, self.events)
 
-    def _take_reply(self, reply: query.Reply) -> None:
+    def _handle_reply(self, reply: query.Reply) -> None:
         self.metrics.note_reply(reply)
         self._replies.give(reply.token, reply)
         log.event(
@@ -190,8 +193,8 @@
         self._loop.put(StartUp())
         if recovered is not None:
             self._loop.put(recovered)
-        # Listening comes before the first word to other instances: one that
-        # they count as alive must not refuse its callers' connections.
+        # Listen before the first message to other instances: once they
+        # consider this one alive, it must not refuse callers' connections.
         self._http.start()
         self._loop.start()
         log.event(
@@ -203,20 +206,19 @@
         )
 
     def shut_down(self) -> None:
-        """Leaves without cutting off anything in flight.
+        """Shuts down without interrupting requests in flight.
 
-        Leaves the addresses first and goes on serving for as long as callers
-        may hold an old address; then refuses new requests and finishes what
-        runs.
+        First withdraws this entry's address and serves for as long as callers
+        may cache it; then rejects new requests and finishes the running ones.
         """
         log.event("leaving", instance=self.cfg.instance)
         self._loop.put(membership.Leave())
         if self.cfg.is_entry:
             time.sleep(self.cfg.addresses_valid_s + self.cfg.leave_margin_s)
             self._loop.put(CloseEntry())
-            self._finish_running()
+            self._wait_until_idle()
         self._loop.put(membership.Stop())
-        time.sleep(IDLE_LOOK_S)
+        time.sleep(IDLE_POLL_S)
         self._http.stop()
         self._dispatcher.stop()
         self._loop.stop()
@@ -225,39 +227,42 @@
             self._disk.stop()
         log.event("stopped", instance=self.cfg.instance)
 
-    def _finish_running(self) -> None:
-        """Waits until no request and no record of an outcome is under way."""
-        until = self.clock.now() + LONGEST_FINISH_S
-        time.sleep(IDLE_LOOK_S)
+    def _wait_until_idle(self) -> None:
+        """Waits until no request is running and all outcomes are recorded."""
+        until = self.clock.now() + MAX_DRAIN_S
+        time.sleep(IDLE_POLL_S)
         while not self.node.is_idle and self.clock.now() < until:
-            time.sleep(IDLE_LOOK_S)
+            time.sleep(IDLE_POLL_S)
 
     def ask(self, make: Callable[[int], object], wait_s: float) -> Any | None:
-        """Puts a message with a new token to the deciders.
+        """Sends a message with a new token to the deciders; awaits the answer.
 
         Args:
             make: builds the message from the token.
-            wait_s: longest wait for the answer.
+            wait_s: maximum wait for the answer, in seconds.
 
         Returns:
-            The answer, or None if it did not come in time.
+            The answer, or None if it did not arrive in time.
         """
         token, fut = self._replies.open()
         self._loop.put(make(token))
         return self._replies.wait(token, fut, wait_s)
 
     def note_gate_full(self) -> None:
-        """Counts a refusal at the gate, and has callers steered elsewhere."""
+        """Counts a refusal at the gate and reports this entry as overloaded.
+
+        Callers are then given other entries.
+        """
         self.metrics.count("gate_refusals")
         with self._overload_lock:
             first = self._overload_until is None
             self._overload_until = self.clock.now() + OVERLOAD_HOLD_S
         if first:
             self._loop.put(membership.Overload(active=True))
-            threading.Thread(target=self._end_overload, daemon=True).start()
+            threading.Thread(target=self._clear_overload, daemon=True).start()
 
-    def _end_overload(self) -> None:
-        """Takes the word back once no request was refused for a while."""
+    def _clear_overload(self) -> None:
+        """Ends the overload ``OVERLOAD_HOLD_S`` after the last refusal."""
         while True:
             with self._overload_lock:
                 left = self._overload_until - self.clock.now()
@@ -268,15 +273,15 @@
         self._loop.put(membership.Overload(active=False))
 
     def control_status(self) -> ControlStatus | None:
-        """Returns the control role's status, None without that role."""
+        """Returns the status of the control role, or None without that role."""
         return self.node.control.status() if self.node.control else None
 
     def status(self) -> dict[str, Any]:
-        """Returns what ``/v1/status`` shows."""
+        """Returns the content of ``/v1/status``."""
         return status.describe(self.node, self.clock.now())
 
     def gauges(self) -> dict[str, float]:
-        """Returns numbers of the moment for ``/metrics``."""
+        """Returns the current values of the gauges for ``/metrics``."""
         gauges = status.gauges(self.node) | {
             "tick_failures_total": self._loop.failures,
             "peer_bytes_sent_total": self._peers.sent_bytes,
--- a/greengagemoor/logfields.py
+++ b/greengagemoor/logfields.py
@@ -8,7 +8,7 @@
 
 EVENTS: dict[str, str] = {
     "start": "the process starts",
-    "stop": "SIGTERM or SIGINT received; serves until callers' addresses expire",
+    "stop": "SIGTERM or SIGINT; serves until the callers' addresses expire",
     "stopped": "the process has shut down in order",
     "reload": "the settings file has changed; the new settings are in force",
     "settings_unreadable": "malformed settings file; the old settings stay",
--- a/greengagemoor/node.py
+++ b/greengagemoor/node.py
@@ -1,4 +1,4 @@
-"""All deciders of one process as one decider; the part to embed or drive."""
+"""Combines the deciders of one process into one, for embedding and tests."""
 
 from __future__ import annotations
 
@@ -25,19 +25,21 @@
     from collections.abc import Iterable
 
 READ_WAIT_S = 2.0
-READ_AGAIN_S = 0.25
-MOST_HEARD_FROM = 4096
+"""Seconds for which a read of the current document may take."""
+READ_RETRY_S = 0.25
+"""Seconds between a failed read and the next."""
+MAX_OBSERVED_ADDRESSES = 4096
 CONTROL_ROLE = "control"
 
 
 @attrs.frozen
 class StartUp:
-    """The first message of a node; its control role starts with Recovered."""
+    """First message to a node; the control role starts with Recovered."""
 
 
 @attrs.frozen
 class CloseEntry:
-    """Refuse new requests from now on; finish what runs."""
+    """Makes the entry reject new requests and finish the running ones."""
 
 
 @attrs.frozen
@@ -48,8 +50,8 @@
 class Node:
     """Routes messages between the deciders of one process.
 
-    ``step`` takes what came from sockets, disk and clock, and returns what
-    the shell must do: replies, attempts, sends and writes.
+    ``step`` receives inputs from sockets, disk and clock, and returns the
+    actions for the shell: replies, attempts, sends and writes.
     """
 
     def __init__(
@@ -65,12 +67,12 @@
         self.query = query_decider
         self.control = control_decider
         self.client = ControlClient(control_targets, rng)
-        self._first_targets = set(control_targets)
+        self._configured_targets = set(control_targets)
         self._claims = Claims()
-        self._heard_from: dict[str, str] = {}
+        self._observed_addresses: dict[str, str] = {}
         self._out: list = []
         self._now = 0.0
-        self._read_at: float | None = None
+        self._next_read_at: float | None = None
 
     @property
     def instance(self) -> str:
@@ -79,26 +81,29 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request runs and no outcome waits to be recorded."""
+        """Whether no request is running and no outcome is to be recorded."""
         running = self.query is not None and not self.query.is_idle
         return not running and self.client.is_idle
 
     def step(self, now: float, msgs: Iterable[object]) -> list:
-        """Runs one tick of every decider that has something to do."""
+        """Runs one tick: all deciders once, then those with new messages."""
         self._now = max(now, self._now)
         self._out = []
-        self._find_control()
+        self._update_control_targets()
         inboxes = _Inboxes()
         for msg in msgs:
             self._route_in(msg, inboxes)
-        self._read_when_due(inboxes)
-        self._run(inboxes, everyone=True)
+        self._read_document_when_due(inboxes)
+        self._run(inboxes, run_all=True)
         while inboxes.any_left():
-            self._run(inboxes, everyone=False)
+            self._run(inboxes, run_all=False)
         return self._out
 
-    def _run(self, inboxes: _Inboxes, *, everyone: bool) -> None:
-        """Runs deciders with messages; all of them once, for their timers."""
+    def _run(self, inboxes: _Inboxes, *, run_all: bool) -> None:
+        """Runs the deciders that have messages.
+
+        With ``run_all``, also those without messages, for their timers.
+        """
         deciders = (
             (self.membership, inboxes.membership),
             (self.control, inboxes.control),
@@ -108,45 +113,46 @@
         for decider, inbox in deciders:
             if decider is None:
                 inbox.clear()
-            elif inbox or everyone:
+            elif inbox or run_all:
                 msgs = list(inbox)
                 inbox.clear()
                 for msg in decider.step(self._now, msgs):
                     self._route_out(msg, inboxes)
 
     def next_wake(self) -> float:
-        """Returns when a tick is due although no message came."""
+        """Returns when the next tick is due if no message arrives."""
         deciders = (self.membership, self.control, self.client, self.query)
         wakes = [d.next_wake() for d in deciders if d is not None]
-        wakes.append(self._read_at)
+        wakes.append(self._next_read_at)
         return min(wake for wake in wakes if wake is not None)
 
-    def _find_control(self) -> None:
-        """Asks the control instances of the settings and the table.
+    def _update_control_targets(self) -> None:
+        """Selects the control instances that the client may ask.
 
-        Those held for gone are left out: a message that one of them might
-        still get would turn every refusal into "may have been accepted".
+        They come from the settings and the membership table. Those known to
+        be gone are left out: after a message that one of them might still
+        receive, a refusal would be reported as "may have been accepted".
         """
         table = self.membership.state.table
         found = set(table.by_role.get(CONTROL_ROLE, ()))
         gone = {
             name
-            for name in self._first_targets
+            for name in self._configured_targets
             if f"i:{name}" in table.gone_since
         }
-        self.client.targets = sorted((found | self._first_targets) - gone)
+        self.client.targets = sorted((found | self._configured_targets) - gone)
         if self.control is not None and self.control.is_outside:
             self.control.meet({n: self._address_of(n) for n in found - gone})
 
-    def _read_when_due(self, inboxes: _Inboxes) -> None:
-        """Reads from a quorum after a start, before callers are served.
+    def _read_document_when_due(self, inboxes: _Inboxes) -> None:
+        """Reads the document from a quorum before callers are served.
 
-        A process that restarts beside a stale control instance would else
-        serve under a document that was replaced long ago.
+        Otherwise a restarted process could get an outdated document from a
+        stale control instance and serve callers under it.
         """
-        if self._read_at is None or self._now < self._read_at:
+        if self._next_read_at is None or self._now < self._next_read_at:
             return
-        self._read_at = None
+        self._next_read_at = None
         ask = Ask(
             token=_ReadToken(),
             kind=OpKind.READ,
@@ -157,10 +163,10 @@
 
     def _route_in(self, msg: object, inboxes: _Inboxes) -> None:
         if isinstance(msg, Received):
-            self._note_address(msg)
+            self._record_address(msg)
             inboxes.for_payload(msg.payload).append(msg)
         elif isinstance(msg, StartUp):
-            self._read_at = self._now
+            self._next_read_at = self._now
         elif isinstance(msg, CloseEntry):
             if self.query is not None:
                 self.query.close()
@@ -203,27 +209,30 @@
         if msg.address:
             self._out.append(msg)
 
-    def _note_address(self, msg: Received) -> None:
-        """Remembers where an unknown sender can be answered.
+    def _record_address(self, msg: Received) -> None:
+        """Records the address of a sender, so that it can be answered.
 
-        A process that spent its news while it was cut off is in nobody's
-        table; without an answer to its probes it would never get into one.
+        An instance that was partitioned may have stopped gossiping its own
+        row before any other instance received it. It is then in no table,
+        and gets into one only if its probes are answered.
         """
         if msg.address:
-            self._heard_from[msg.sender] = msg.address
-            while len(self._heard_from) > MOST_HEARD_FROM:
-                self._heard_from.pop(next(iter(self._heard_from)))
+            self._observed_addresses[msg.sender] = msg.address
+            while len(self._observed_addresses) > MAX_OBSERVED_ADDRESSES:
+                self._observed_addresses.pop(
+                    next(iter(self._observed_addresses))
+                )
 
     def _address_of(self, name: str) -> str:
         state = self.membership.state
         row = state.table.rows.get(f"i:{name}")
         if isinstance(row, InstanceRow):
             return row.peer_address
-        return self._heard_from.get(name) or state.seeds.get(name, "")
+        return self._observed_addresses.get(name) or state.seeds.get(name, "")
 
     def _route_done(self, msg: Done, inboxes: _Inboxes) -> None:
         if isinstance(msg.token, _ReadToken):
-            self._take_read(msg, inboxes)
+            self._handle_read(msg, inboxes)
         elif isinstance(msg.token, ClaimToken):
             inboxes.query.append(self._claims.decided(msg))
             ask = self._claims.give_back(self._now, msg)
@@ -232,9 +241,9 @@
         elif not isinstance(msg.token, OutcomeToken):
             self._out.append(msg)
 
-    def _take_read(self, msg: Done, inboxes: _Inboxes) -> None:
+    def _handle_read(self, msg: Done, inboxes: _Inboxes) -> None:
         if msg.reply.code != Code.CURRENT:
-            self._read_at = self._now + READ_AGAIN_S
+            self._next_read_at = self._now + READ_RETRY_S
             return
         read = membership.CurrentRead(msg.reply.version, msg.reply.text)
         inboxes.membership.append(read)
