--- a/greengagemoor/cmd/__init__.py
+++ b/greengagemoor/cmd/__init__.py
@@ -1,1 +1,1 @@
-"""One module for each program."""
+"""Command-line programs, one module each, and modules they share."""
--- a/greengagemoor/cmd/calls.py
+++ b/greengagemoor/cmd/calls.py
@@ -1,4 +1,4 @@
-"""How the operators' tool calls an instance, and how it ends."""
+"""HTTP calls of the operators' tool to an instance, and its exit codes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     UNREACHABLE = 5
 
 
-_EXIT_OF_CODE = {
+_EXIT_BY_CODE = {
     Code.ACCEPTED: Exit.OK,
     Code.CURRENT: Exit.OK,
     Code.WHOLE: Exit.OK,
@@ -52,7 +52,7 @@
     """An instance's answer.
 
     Attributes:
-        body: decoded, or None if it is no JSON.
+        body: decoded JSON, or None if the answer is not JSON.
     """
 
     status: int
@@ -61,7 +61,7 @@
 
 
 def call(at: str, method: str, path: str, body: Any = None) -> Reply:
-    """Calls an instance; ends the program if it can't be reached."""
+    """Calls an instance; exits the program if it can't be reached."""
     http = urllib3.PoolManager(retries=False)
     try:
         response = http.request(
@@ -87,8 +87,8 @@
 
 
 def end_with(reply: Reply) -> None:
-    """Ends the program with the exit code of an answer."""
+    """Exits the program with the exit code for an answer."""
     code = reply.body.get("code") if isinstance(reply.body, dict) else None
     if code is None:
         raise typer.Exit(Exit.OK if reply.status < 400 else Exit.REFUSED)
-    raise typer.Exit(_EXIT_OF_CODE.get(Code(code), Exit.REFUSED))
+    raise typer.Exit(_EXIT_BY_CODE.get(Code(code), Exit.REFUSED))
--- a/greengagemoor/cmd/ctl.py
+++ b/greengagemoor/cmd/ctl.py
@@ -25,7 +25,7 @@
     add_completion=False,
     no_args_is_help=True,
     pretty_exceptions_enable=False,
-    help="Applies documents to greengagemoor and shows what it does.",
+    help="Applies documents to greengagemoor and shows its state.",
 )
 
 app.command("explain")(logs.explain_command)
@@ -57,18 +57,18 @@
     document: Annotated[Path, typer.Argument(help="Document file, JSON.")],
     replaces: Annotated[
         int | None,
-        typer.Option(help="Version it replaces; the current one if left out."),
+        typer.Option(help="Version it replaces; by default the current one."),
     ] = None,
     apply_id: Annotated[
         str,
-        typer.Option(help="Id of this change; resend the same after a loss."),
+        typer.Option(help="Id of this change; repeat it after a lost reply."),
     ] = "",
     at: At = DEFAULT_AT,
 ) -> None:
     """Applies a document as a whole.
 
-    With --replaces left out, the version is read first; a change that comes
-    in between then wins, and this one is told so.
+    Without --replaces, the current version is read first; if another change
+    is accepted in between, this one is rejected as a conflict.
     """
     decoded = _read_document(document)
     if replaces is None:
@@ -129,7 +129,7 @@
 
 @app.command()
 def members(at: At = DEFAULT_AT) -> None:
-    """Shows the control group, and whether it can bear a further loss."""
+    """Shows the control group, and whether it tolerates a further loss."""
     reply = call(at, "GET", "/v1/members")
     show_body(reply.body)
     warning = reply.body.get("warning")
@@ -143,7 +143,7 @@
     member_id: Annotated[str, typer.Argument(help="As `members` shows it.")],
     at: At = DEFAULT_AT,
 ) -> None:
-    """Takes a member that will not come back out of the control group."""
+    """Removes a member that will not return from the control group."""
     reply = call(at, "DELETE", f"/v1/members/{member_id}")
     show_body(reply.body)
     end_with(reply)
@@ -167,7 +167,7 @@
     body: Annotated[str, typer.Option(help="JSON for the searchers.")] = "null",
     caller: Annotated[str, typer.Option(help="Caller's name.")] = "operator",
     key: Annotated[str | None, typer.Option(help="Asks one shard.")] = None,
-    request_id: Annotated[str, typer.Option(help="Made up if empty.")] = "",
+    request_id: Annotated[str, typer.Option(help="Generated if empty.")] = "",
     deadline_s: Annotated[float | None, typer.Option()] = None,
     not_repeatable: Annotated[
         bool, typer.Option("--not-repeatable", help="Run at most once.")
@@ -175,11 +175,11 @@
     at: At = DEFAULT_AT,
 ) -> None:
     """Sends one request and shows the whole answer."""
-    made_up = f"{int(time.time() * 1000)}-{uuid.uuid4().hex}"
+    generated_id = f"{int(time.time() * 1000)}-{uuid.uuid4().hex}"
     payload = {
         "caller": caller,
         "request_class": request_class,
-        "request_id": request_id or made_up,
+        "request_id": request_id or generated_id,
         "deadline_s": deadline_s,
         "repeatable": not not_repeatable,
         "key": key,
@@ -205,7 +205,7 @@
 
 @app.command("explain-settings")
 def explain_settings() -> None:
-    """Lists every setting of greengagemoord, its default and its meaning."""
+    """Lists every setting of greengagemoord with default and meaning."""
     for field in attrs.fields(Settings):
         required = field.default is attrs.NOTHING
         default = "required" if required else repr(field.default)
--- a/greengagemoor/cmd/daemon.py
+++ b/greengagemoor/cmd/daemon.py
@@ -24,10 +24,10 @@
 def run(
     settings: Annotated[Path, typer.Argument(help="Settings file, JSON.")],
     check: Annotated[
-        bool, typer.Option(help="Check the settings and end.")
+        bool, typer.Option(help="Check the settings and exit.")
     ] = False,
 ) -> None:
-    """Runs one instance until it gets SIGTERM or SIGINT.
+    """Runs one instance until it receives SIGTERM or SIGINT.
 
     Exit codes: 0 ended in order, 2 invalid settings, 3 the data folder can't
     be used, 4 an address can't be listened on.
@@ -37,9 +37,9 @@
         typer.echo(f"{settings}: valid")
         return
     log.set_up(cfg.log_level, cfg.instance)
-    # Blocked in every thread, and waited for in this one. A handler would run
-    # inside another one when signals come in a burst, and any lock it takes
-    # would be held already: the process would hang instead of ending.
+    # The signals are blocked in every thread and awaited in this one. With a
+    # burst of signals, a handler would interrupt itself; a lock that it takes
+    # would already be held, and the process would hang instead of exiting.
     signal.pthread_sigmask(signal.SIG_BLOCK, ENDING_SIGNALS)
     _serve(cfg)
 
@@ -59,17 +59,17 @@
         application.start()
     except StorageError as exc:
         log.event("storage_unusable", level="ERROR", reason=exc)
-        # Threads that started before the failure must not keep us alive.
-        _leave_at_once(EXIT_STORAGE)
+        # Threads started before the failure must not keep the process running.
+        _exit_immediately(EXIT_STORAGE)
     except OSError as exc:
         log.event("listen_failed", level="ERROR", reason=exc)
-        _leave_at_once(EXIT_NETWORK)
+        _exit_immediately(EXIT_NETWORK)
     signal.sigwait(ENDING_SIGNALS)
-    # A further signal stays pending: it does not cut this short.
+    # A further signal stays pending and does not interrupt the shutdown.
     application.shut_down()
 
 
-def _leave_at_once(code: int) -> NoReturn:
+def _exit_immediately(code: int) -> NoReturn:
     sys.stderr.flush()
     os._exit(code)
 
--- a/greengagemoor/cmd/evacuations.py
+++ b/greengagemoor/cmd/evacuations.py
@@ -1,4 +1,4 @@
-"""Commands about evacuations of data centres."""
+"""Commands for evacuations of data centres."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from greengagemoor.cmd.quarantine import DEFAULT_AT
 from greengagemoor.serving.operators import EVACUATIONS_PATH
 
-DataCentre = Annotated[str, typer.Argument(help="As in the settings.")]
+DataCentre = Annotated[str, typer.Argument(help="Name, as in the settings.")]
 
 
 def evacuations_command(at: calls.At = DEFAULT_AT) -> None:
-    """Lists for which data centres an order was given, and which hold."""
+    """Lists the orders for data centres, and which are in force."""
     _show(calls.call(at, "GET", EVACUATIONS_PATH))
 
 
 def evacuate_command(
     data_centre: DataCentre, at: calls.At = DEFAULT_AT
 ) -> None:
-    """Sends nothing more to the backend servers of a data centre."""
+    """Stops sending requests to the backend servers of a data centre."""
     _order(at, data_centre, active=True)
 
 
 def restore_command(data_centre: DataCentre, at: calls.At = DEFAULT_AT) -> None:
-    """Takes the evacuation of a data centre back."""
+    """Revokes the evacuation of a data centre."""
     _order(at, data_centre, active=False)
 
 
--- a/greengagemoor/cmd/load.py
+++ b/greengagemoor/cmd/load.py
@@ -1,4 +1,4 @@
-"""A load tool: ``greengagemoor-load`` sends requests at a steady rate."""
+"""Load generator ``greengagemoor-load``: sends requests at a steady rate."""
 
 from __future__ import annotations
 
@@ -22,12 +22,13 @@
 MAX_RATE = 10_000
 LONGEST_US = 600_000_000
 MICROSECONDS = 1_000_000
-SPARE_S = 5.0
+RESPONSE_MARGIN_S = 5.0
+"""Seconds after a request's deadline until its call times out."""
 
 
 @attrs.define
 class Tally:
-    """What a run gave; guarded by its lock."""
+    """Results of a run, guarded by ``lock``."""
 
     codes: Counter = attrs.field(factory=Counter)
     latency: HdrHistogram = attrs.field(
@@ -37,7 +38,7 @@
     lock: threading.Lock = attrs.field(factory=threading.Lock)
 
     def note(self, code: int | None, seconds: float) -> None:
-        """Counts one request; None when nobody answered."""
+        """Records one request; ``code`` is None if there was no answer."""
         with self.lock:
             if code is None:
                 self.unreachable += 1
@@ -48,10 +49,10 @@
 
 @attrs.frozen
 class Plan:
-    """What to send.
+    """Requests to send.
 
     Attributes:
-        distinct: how many different queries take turns.
+        distinct: number of different queries, selected at random.
     """
 
     service: str
@@ -62,7 +63,7 @@
 
 
 class Sender:
-    """One connection that sends its part of the rate."""
+    """A connection that sends its part of the request rate."""
 
     def __init__(self, at: str, plan: Plan, tally: Tally, seed: int):
         host, _, port = at.rpartition(":")
@@ -74,7 +75,11 @@
         self._rng = random.Random(seed)
 
     def run(self, interval: float, until: float) -> None:
-        """Sends until a time; a late answer delays no later request's due."""
+        """Sends requests until the time ``until``.
+
+        A late answer does not shift the due times of later requests, and
+        latency counts from the due time.
+        """
         due = time.monotonic() + interval * self._rng.random()
         while due < until:
             time.sleep(max(0.0, due - time.monotonic()))
@@ -100,7 +105,7 @@
                 f"/v1/services/{self._plan.service}/requests",
                 body=body,
                 retries=False,
-                timeout=self._plan.deadline_s + SPARE_S,
+                timeout=self._plan.deadline_s + RESPONSE_MARGIN_S,
             )
             return reply.json()["code"]
         except (urllib3.exceptions.HTTPError, OSError, ValueError, KeyError):
@@ -110,14 +115,14 @@
 def send_load(
     at: str, plan: Plan, rate: float, seconds: float, connections: int
 ) -> Tally:
-    """Sends ``rate`` requests a second for some seconds.
+    """Sends requests at a steady rate and returns the results.
 
     Args:
         at: IP:PORT of an entry.
         plan: what to send.
-        rate: requests a second, over all connections.
-        seconds: how long.
-        connections: how many send at the same time.
+        rate: requests a second over all connections.
+        seconds: duration of the run.
+        connections: number of connections that send concurrently.
     """
     tally = Tally()
     until = time.monotonic() + seconds
@@ -141,12 +146,14 @@
     ] = 50.0,
     seconds: Annotated[float, typer.Option(min=0.1, max=MAX_SECONDS)] = 10.0,
     connections: Annotated[int, typer.Option(min=1, max=500)] = 16,
-    callers: Annotated[int, typer.Option(min=1, help="Names used.")] = 4,
-    distinct: Annotated[int, typer.Option(min=1, help="Queries used.")] = 1000,
+    callers: Annotated[int, typer.Option(min=1, help="Number of callers.")] = 4,
+    distinct: Annotated[
+        int, typer.Option(min=1, help="Number of distinct queries.")
+    ] = 1000,
     deadline_s: Annotated[float, typer.Option(min=0.001)] = 1.0,
     at: Annotated[str, typer.Option(help="IP:PORT of an entry.")] = DEFAULT_AT,
 ) -> None:
-    """Sends lookups for a time, and shows codes and latencies."""
+    """Sends lookups at a steady rate; shows result codes and latencies."""
     plan = Plan(service, request_class, callers, distinct, deadline_s)
     tally = send_load(at, plan, rate, seconds, connections)
     for code, number in sorted(tally.codes.items()):
--- a/greengagemoor/cmd/logs.py
+++ b/greengagemoor/cmd/logs.py
@@ -10,12 +10,12 @@
 
 from greengagemoor.logreading.explain import explain
 from greengagemoor.logreading.lines import LogLine, merge, read_lines
-from greengagemoor.logreading.losses import find_losses, tell
+from greengagemoor.logreading.losses import find_losses, format_report
 from greengagemoor.logreading.timeline import disagreements, timeline
 
 Files = Annotated[
     list[Path] | None,
-    typer.Argument(help="Log files; standard input if none is named."),
+    typer.Argument(help="Log files; standard input by default."),
 ]
 
 
@@ -23,7 +23,7 @@
     request_id: Annotated[str, typer.Argument(help="Id of one attempt.")],
     files: Files = None,
 ) -> None:
-    """Tells the story of a request and the reason for its end."""
+    """Shows the history of a request and the reason for its result."""
     for line in explain(_read(files), request_id):
         typer.echo(line)
 
@@ -31,13 +31,13 @@
 def timeline_command(
     files: Files = None,
     searchers: Annotated[
-        bool, typer.Option(help="Show changes of searchers too.")
+        bool, typer.Option(help="Also show changes of searchers.")
     ] = False,
     after_s: Annotated[
-        float, typer.Option(help="Seconds for which a lag is usual.")
+        float, typer.Option(help="Lag in seconds that is not reported.")
     ] = 3.0,
 ) -> None:
-    """Tells what each process believed, and where two disagreed."""
+    """Shows state changes of each process, and where two disagreed."""
     lines = _read(files)
     for text in timeline(lines, searchers=searchers):
         typer.echo(text)
@@ -46,8 +46,8 @@
 
 
 def losses_command(files: Files = None) -> None:
-    """Tells what callers lost, by cause and by second."""
-    for text in tell(find_losses(_read(files))):
+    """Shows lost and partial answers, by cause and by second."""
+    for text in format_report(find_losses(_read(files))):
         typer.echo(text)
 
 
--- a/greengagemoor/cmd/quarantine.py
+++ b/greengagemoor/cmd/quarantine.py
@@ -1,4 +1,4 @@
-"""Commands about requests under which searchers have ended."""
+"""Commands for requests that are suspected of crashing searchers."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from greengagemoor.serving.quarantine import PATH
 
 DEFAULT_AT = "127.0.0.1:9464"
-"""Where control instances tell their metrics."""
+"""Metrics address of a control instance."""
 
 
 def quarantine_command(at: calls.At = DEFAULT_AT) -> None:
-    """Lists the requests that are refused or tried, and why."""
+    """Lists the requests that are quarantined or on trial, and why."""
     reply = calls.call(at, "GET", PATH)
     calls.show(reply.body)
     calls.end_with(reply)
@@ -24,7 +24,7 @@
     digest: Annotated[str, typer.Argument(help="As `quarantine` shows it.")],
     at: calls.At = DEFAULT_AT,
 ) -> None:
-    """Lets a request go to searchers again, at all entries."""
+    """Lets all entries send a request to searchers again."""
     reply = calls.call(at, "POST", PATH, {"digest": digest})
     calls.show(reply.body)
     calls.end_with(reply)
--- a/greengagemoor/logreading/__init__.py
+++ b/greengagemoor/logreading/__init__.py
@@ -1,1 +1,1 @@
-"""Reads the log lines of several processes as one story."""
+"""Analyses the merged logs of several processes."""
--- a/greengagemoor/logreading/explain.py
+++ b/greengagemoor/logreading/explain.py
@@ -1,4 +1,4 @@
-"""The story of one request, and the reason for its end."""
+"""Explains one request from logs: its history and the reason for its end."""
 
 from __future__ import annotations
 
@@ -10,47 +10,47 @@
 
     from greengagemoor.logreading.lines import LogLine
 
-AROUND_S = 5.0
-"""How far back the state of a searcher is looked for."""
+SEARCHER_LOOKBACK_S = 5.0
+"""Seconds before an answer in which changes of searchers are reported."""
 REASONS = {
     "answered": "it was answered in full",
     "partial": "the time for a whole answer was over, or a shard was given up",
-    "searcher_failed": "the searchers that were asked answered with a failure",
+    "searcher_failed": "the searchers that were asked reported a failure",
     "below_coverage": "too few shards could still answer",
-    "no_answer": "its time was over before an answer came",
+    "no_answer": "its deadline passed before an answer arrived",
     "broken": "a connection broke after the request had been sent",
     "not_run_no_searcher": "no searcher could be asked",
-    "not_run_busy": "no searcher had a place for it in good time",
+    "not_run_busy": "no searcher had a free connection for it in time",
     "not_run_refused": "each searcher that was asked refused to run it",
-    "not_run_suspect": "searchers ended under it; a trial goes first",
-    "not_run_quarantined": "it ends the searchers that run it",
-    "not_run_deadline": "it had no time left when it came",
+    "not_run_suspect": "searchers crashed while running it; a trial goes first",
+    "not_run_quarantined": "it crashes the searchers that run it",
+    "not_run_deadline": "its deadline had passed when it arrived",
 }
 
-WAITS = {
-    "waits": "waits: no searcher has a place",
-    "held": "held until a trial of this request has ended",
+STEP_TEXTS = {
+    "waits": "waits: no searcher has a free connection",
+    "held": "held until a trial of this request has completed",
     "trial": "the send is the trial of this request",
 }
 
 
 def explain(lines: list[LogLine], request_id: str) -> list[str]:
-    """Returns the story of a request, a line each.
+    """Returns the history of a request, as lines.
 
     Args:
-        lines: of all processes, in order.
-        request_id: the caller's id of one attempt.
+        lines: log lines of all processes, by time.
+        request_id: id that the caller gave to one attempt.
     """
     own = [line for line in lines if line.get("request_id") == request_id]
     if not own:
-        return [f"no line names request {request_id}"]
-    return [*_story(own), *_conclusion(lines, own)]
+        return [f"no log line names request {request_id}"]
+    return [*_history(own), *_conclusion(lines, own)]
 
 
-def _story(own: list[LogLine]) -> Iterator[str]:
+def _history(own: list[LogLine]) -> Iterator[str]:
     steps = [line for line in own if line.event == "step"]
     for line in sorted(steps, key=lambda x: float(x.get("after_ms", "0"))):
-        yield f"{float(line.get('after_ms')):8.1f} ms  {_tell_step(line)}"
+        yield f"{float(line.get('after_ms')):8.1f} ms  {_format_step(line)}"
     for line in own:
         if line.event == "answer":
             yield (
@@ -60,29 +60,29 @@
             )
         elif line.event == "no_route":
             yield (
-                f"{line.source} knows no route for {line.get('host')}"
+                f"{line.source} has no route for {line.get('host')}"
                 f"{line.get('path')} in document {line.get('document')}"
             )
 
 
-def _tell_step(line: LogLine) -> str:
+def _format_step(line: LogLine) -> str:
     kind = line.get("kind")
     place = f"{line.get('service')} {line.get('searcher')}".strip()
     if kind == "ended":
         return f"{place} ended: {line.get('note')}"
-    if kind in WAITS:
-        return f"{place} {WAITS[kind]}".strip()
+    if kind in STEP_TEXTS:
+        return f"{place} {STEP_TEXTS[kind]}".strip()
     return (
         f"{place} {kind.replace('_', ' ')} (cost {line.get('cost')}, "
         f"{line.get('own')} own and {line.get('others')} others there, "
-        f"heard {line.get('load_age_ms')} ms ago)"
+        f"reported {line.get('load_age_ms')} ms ago)"
     )
 
 
 def _conclusion(lines: list[LogLine], own: list[LogLine]) -> Iterator[str]:
     answer = next((line for line in own if line.event == "answer"), None)
     if answer is None:
-        yield "no answer is in the log: cancelled, or the process ended"
+        yield "no answer in the logs: request cancelled, or process ended"
         return
     ending = answer.get("ending")
     yield f"reason: {REASONS.get(ending, ending)}"
@@ -102,10 +102,10 @@
 def _searcher_states(
     lines: list[LogLine], own: list[LogLine], answer: LogLine
 ) -> Iterator[str]:
-    """Names changes of the searchers involved, shortly before the end."""
+    """Yields state changes of the involved searchers shortly before the end."""
     asked = {line.get("searcher") for line in own} - {""}
     for line in lines:
-        recent = answer.at - AROUND_S <= line.at <= answer.at
+        recent = answer.at - SEARCHER_LOOKBACK_S <= line.at <= answer.at
         same = line.source == answer.source and line.event == "searcher"
         if recent and same and line.get("id") in asked:
             ago = answer.at - line.at
--- a/greengagemoor/logreading/lines.py
+++ b/greengagemoor/logreading/lines.py
@@ -1,4 +1,4 @@
-"""Parses lines of key=value pairs, whatever stands in front of them."""
+"""Parses log lines of key=value pairs, with or without a prefix."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     """One event of one process.
 
     Attributes:
-        at: unix seconds, by the clock of the machine that wrote it.
-        source: the process: the line's own field, what stood in front of the
-            line, or the file's name.
+        at: Unix seconds, by the clock of the machine that wrote the line.
+        source: name of the process, from the line's ``instance`` field, else
+            the last word before the line, else the file name.
     """
 
     at: float
@@ -30,12 +30,12 @@
     fields: dict[str, str]
 
     def get(self, name: str, default: str = "") -> str:
-        """Returns a field as text."""
+        """Returns the text of a field."""
         return self.fields.get(name, default)
 
 
 def read_lines(texts: Iterable[str], source: str = "") -> list[LogLine]:
-    """Returns the events among lines; what is none is left out."""
+    """Returns the events in log lines; skips lines without one."""
     return [line for text in texts if (line := _read(text, source))]
 
 
@@ -49,8 +49,10 @@
         event = fields["event"]
     except (KeyError, ValueError):
         return None
-    words = text[:start].split()
-    name = fields.get("instance") or (words[-1] if words else source)
+    prefix_words = text[:start].split()
+    name = fields.get("instance") or (
+        prefix_words[-1] if prefix_words else source
+    )
     return LogLine(at, name, event, fields)
 
 
@@ -61,7 +63,7 @@
 
 
 def merge(sources: Iterable[list[LogLine]]) -> list[LogLine]:
-    """Returns the lines of all sources in the order of their clocks."""
+    """Returns the lines of all sources, sorted by time."""
     return sorted(
         (line for lines in sources for line in lines), key=lambda x: x.at
     )
--- a/greengagemoor/logreading/losses.py
+++ b/greengagemoor/logreading/losses.py
@@ -1,4 +1,4 @@
-"""Where answers were lost or partial, by cause and by second."""
+"""Lost and partial answers in logs, by cause and by second."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 @attrs.define
 class Losses:
-    """What callers lost, in answers: 1 is a whole answer that nobody got.
+    """What callers lost, in answers: 1 is an answer that was not given.
 
-    A partial answer loses one less the square of the share of its shards, as
-    callers value it. What was late isn't seen here: an answer's line doesn't
-    tell its objective.
+    A partial answer counts as a loss of 1 minus the square of the share of
+    shards that it covers, as callers value it. Late answers are not counted:
+    the log line of an answer does not contain the objective of its route.
 
     Attributes:
-        answers: answers told in the logs.
-        partial: how many of them left shards out.
+        answers: number of answers in the logs.
+        partial: number of those that omit shards.
         by_cause: loss by cause.
         by_second: loss by Unix second.
-        starts: seconds from a process's start until it was ready.
+        starts: (process, seconds from its start until it was ready).
     """
 
     answers: int = 0
@@ -40,60 +40,65 @@
     starts: list[tuple[str, float]] = attrs.field(factory=list)
 
     def add(self, at: float, cause: str, loss: float) -> None:
-        """Adds a loss."""
+        """Adds ``loss`` at Unix time ``at``."""
         self.by_cause[cause] += loss
         self.by_second[int(at)] += loss
 
 
 def find_losses(lines: list[LogLine]) -> Losses:
-    """Returns the losses that logs tell of.
+    """Returns the losses found in logs.
 
     Args:
-        lines: of all processes, in order.
+        lines: log lines of all processes, by time.
     """
-    found = Losses()
+    losses = Losses()
     sends: dict[str, Counter[str]] = defaultdict(Counter)
-    began: dict[str, float] = {}
+    started: dict[str, float] = {}
     for line in lines:
         if line.event == "step" and line.get("kind") in SENT:
             sends[line.get("request_id")][line.get("service")] += 1
         elif line.event == "answer":
             asked = sends.pop(line.get("request_id"), Counter())
-            _take_answer(found, line, asked)
+            _add_answer(losses, line, asked)
         elif line.event == "start":
-            began[line.source] = line.at
+            started[line.source] = line.at
         elif line.event == "ready" and line.get("ready") == "True":
-            _take_ready(found, line, began)
-    return found
+            _add_ready(losses, line, started)
+    return losses
 
 
-def _take_ready(found: Losses, line: LogLine, began: dict[str, float]) -> None:
-    start = began.pop(line.source, None)
+def _add_ready(
+    losses: Losses, line: LogLine, started: dict[str, float]
+) -> None:
+    start = started.pop(line.source, None)
     if start is not None:
-        found.starts.append((line.source, line.at - start))
+        losses.starts.append((line.source, line.at - start))
 
 
-def _take_answer(found: Losses, line: LogLine, asked: Counter[str]) -> None:
-    found.answers += 1
+def _add_answer(losses: Losses, line: LogLine, asked: Counter[str]) -> None:
+    losses.answers += 1
     ending = line.get("ending")
     if ending == "partial":
-        found.partial += 1
-        _take_partial(found, line, asked)
+        losses.partial += 1
+        _add_partial(losses, line, asked)
     elif ending not in SERVED:
-        found.add(line.at, ending, 1.0)
+        losses.add(line.at, ending, 1.0)
 
 
-def _take_partial(found: Losses, line: LogLine, asked: Counter[str]) -> None:
+def _add_partial(losses: Losses, line: LogLine, asked: Counter[str]) -> None:
     missing = list(_missing(line.get("detail")))
     shards = max(len(asked | Counter(name for name, _ in missing)), 1)
     loss = 1.0 - (1.0 - len(missing) / shards) ** 2
     for service, state in missing:
         cause = f"partial: {_cause(state, asked[service])}"
-        found.add(line.at, cause, loss / len(missing))
+        losses.add(line.at, cause, loss / len(missing))
 
 
 def _missing(detail: str) -> Iterator[tuple[str, str]]:
-    """Yields the services without an answer; the last part is the latest."""
+    """Yields (service, state) of the services without an answer.
+
+    Skips the part that names the last service to answer and its time.
+    """
     for part in detail.split(","):
         service, _, state = part.partition(":")
         if service and not state.endswith("ms"):
@@ -103,7 +108,7 @@
 def _cause(state: str, sends: int) -> str:
     if not state.startswith("late"):
         return {
-            "waits": "no place",
+            "waits": "no free connection",
             "none": "no searcher",
             "refused": "searchers refused",
             "broken": "connections broke",
@@ -113,22 +118,22 @@
     return "late, second send too"
 
 
-def tell(found: Losses) -> Iterator[str]:
-    """Yields the account, a line each."""
-    total = sum(found.by_cause.values())
+def format_report(losses: Losses) -> Iterator[str]:
+    """Yields the report line by line."""
+    total = sum(losses.by_cause.values())
     yield (
-        f"{found.answers} answers told, {found.partial} of them partial, "
+        f"{losses.answers} answers logged, {losses.partial} of them partial, "
         f"{total:.1f} lost"
     )
-    for cause, loss in found.by_cause.most_common():
+    for cause, loss in losses.by_cause.most_common():
         yield f"{loss:8.1f}  {cause}"
-    yield "worst seconds"
-    for second, loss in found.by_second.most_common(WORST_SECONDS):
+    yield "seconds with the largest losses"
+    for second, loss in losses.by_second.most_common(WORST_SECONDS):
         yield f"{loss:8.1f}  {second}"
-    if found.starts:
-        times = sorted(seconds for _, seconds in found.starts)
+    if losses.starts:
+        times = sorted(seconds for _, seconds in losses.starts)
         middle = times[len(times) // 2]
         yield (
-            f"{len(times)} starts until ready, median {middle:.2f} s, "
+            f"{len(times)} starts, until ready: median {middle:.2f} s, "
             f"longest {times[-1]:.2f} s"
         )
--- a/greengagemoor/logreading/timeline.py
+++ b/greengagemoor/logreading/timeline.py
@@ -1,4 +1,4 @@
-"""What each process believed over time, and where two disagreed."""
+"""State changes of processes over time, and where two disagree."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
     from greengagemoor.logreading.lines import LogLine
 
-TOLD = {
+SHOWN_FIELDS = {
     "start": ("role",),
     "stop": (),
     "reload": ("seeds",),
@@ -27,33 +27,36 @@
 
 
 def timeline(lines: list[LogLine], *, searchers: bool) -> list[str]:
-    """Returns changes of belief in order, a line each.
+    """Returns the state changes of all processes, as lines by time.
 
     Args:
-        lines: of all processes, in order.
-        searchers: whether changes of searchers are shown.
+        lines: log lines of all processes, by time.
+        searchers: whether changes of searchers are included.
     """
-    told = []
+    shown = []
     for line in lines:
-        if line.event not in TOLD:
+        if line.event not in SHOWN_FIELDS:
             continue
         if line.event == "searcher" and not searchers:
             continue
         words = " ".join(
-            f"{name}={line.get(name)}" for name in TOLD[line.event]
+            f"{name}={line.get(name)}" for name in SHOWN_FIELDS[line.event]
         )
-        told.append(
+        shown.append(
             f"{line.at:14.3f} {line.source:24} {line.event:10} {words}".rstrip()
         )
-    return told
+    return shown
 
 
 def disagreements(lines: list[LogLine], after_s: float) -> list[str]:
-    """Returns where one process held an older document than another.
+    """Returns where processes disagree, as lines.
+
+    That is two leaders in one term, and an older document than another process
+    has.
 
     Args:
-        lines: of all processes, in order.
-        after_s: for how long that is usual.
+        lines: log lines of all processes, by time.
+        after_s: seconds for which an older document is not reported.
     """
     return [*_two_leaders(lines), *_behind(lines, after_s)]
 
@@ -67,14 +70,14 @@
         if first != line.source:
             yield (
                 f"{line.at:.3f} {line.source} leads term {line.get('term')}, "
-                f"and so did {first}"
+                f"as does {first}"
             )
 
 
 def _behind(lines: list[LogLine], after_s: float) -> Iterator[str]:
     newest, since = 0, 0.0
     held: dict[str, int] = {}
-    told: set[tuple[str, int]] = set()
+    reported: set[tuple[str, int]] = set()
     for line in lines:
         if line.event == "start":
             held.pop(line.source, None)
@@ -86,8 +89,8 @@
         if line.at - since <= after_s:
             continue
         for source, version in held.items():
-            if version < newest and (source, newest) not in told:
-                told.add((source, newest))
+            if version < newest and (source, newest) not in reported:
+                reported.add((source, newest))
                 yield (
                     f"{line.at:.3f} {source} still has document {version}, "
                     f"{newest} was seen {line.at - since:.1f} s ago"
--- a/tests/test_cmd/test_programs.py
+++ b/tests/test_cmd/test_programs.py
@@ -1,4 +1,4 @@
-"""The programs as operators use them: help, checks and exit codes."""
+"""Command-line programs: help, checks and exit codes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from greengagemoor.cmd import calls, ctl, daemon
 
 RUNNER = CliRunner()
-NOBODY = "127.0.0.1:1"
+UNREACHABLE_ADDRESS = "127.0.0.1:1"
 
 
 @pytest.fixture
@@ -24,7 +24,9 @@
 class TestDaemon:
     """``greengagemoord``."""
 
-    def test_check_says_every_fault_with_its_path(self, daemon_app, tmp_path):
+    def test_check_reports_every_fault_with_its_path(
+        self, daemon_app, tmp_path
+    ):
         path = tmp_path / "settings.json"
         path.write_text(json.dumps({"instance": "e1", "seed": "x"}))
         result = RUNNER.invoke(daemon_app, [str(path), "--check"])
@@ -32,7 +34,7 @@
         assert "$.seed" in result.output
         assert "http_address" in result.output
 
-    def test_check_of_a_good_file(self, daemon_app, tmp_path):
+    def test_check_of_a_valid_file(self, daemon_app, tmp_path):
         path = tmp_path / "settings.json"
         good = {
             "instance": "e1",
@@ -53,15 +55,17 @@
 class TestCtl:
     """``greengagemoorctl``."""
 
-    def test_invalid_document_is_refused_before_it_is_sent(self, tmp_path):
+    def test_invalid_document_is_not_sent(self, tmp_path):
         path = tmp_path / "document.json"
         path.write_text('{"entries": ["e", "e"], "colour": 1}')
-        result = RUNNER.invoke(ctl.app, ["apply", str(path), "--at", NOBODY])
+        result = RUNNER.invoke(
+            ctl.app, ["apply", str(path), "--at", UNREACHABLE_ADDRESS]
+        )
         assert result.exit_code == ctl.Exit.INVALID
         assert "colour" in result.output
 
-    def test_nobody_answers(self):
-        result = RUNNER.invoke(ctl.app, ["status", "--at", NOBODY])
+    def test_unreachable_instance(self):
+        result = RUNNER.invoke(ctl.app, ["status", "--at", UNREACHABLE_ADDRESS])
         assert result.exit_code == ctl.Exit.UNREACHABLE
 
     def test_help_names_every_command(self):
@@ -94,31 +98,41 @@
         ("command", "active"), [("evacuate", True), ("restore", False)]
     )
     def test_order(self, called, command, active):
-        result = RUNNER.invoke(ctl.app, [command, "dc1", "--at", NOBODY])
+        result = RUNNER.invoke(
+            ctl.app, [command, "dc1", "--at", UNREACHABLE_ADDRESS]
+        )
         assert result.exit_code == 0
         body = {"data_centre": "dc1", "active": active}
-        assert called == [(NOBODY, "POST", "/evacuations", body)]
+        assert called == [(UNREACHABLE_ADDRESS, "POST", "/evacuations", body)]
 
     def test_list(self, called):
-        result = RUNNER.invoke(ctl.app, ["evacuations", "--at", NOBODY])
+        result = RUNNER.invoke(
+            ctl.app, ["evacuations", "--at", UNREACHABLE_ADDRESS]
+        )
         assert result.exit_code == 0
-        assert called == [(NOBODY, "GET", "/evacuations", None)]
+        assert called == [(UNREACHABLE_ADDRESS, "GET", "/evacuations", None)]
 
 
 class TestQuarantine:
     """``greengagemoorctl quarantine`` and ``clear``."""
 
     def test_list(self, called):
-        result = RUNNER.invoke(ctl.app, ["quarantine", "--at", NOBODY])
+        result = RUNNER.invoke(
+            ctl.app, ["quarantine", "--at", UNREACHABLE_ADDRESS]
+        )
         assert result.exit_code == 0
-        assert called == [(NOBODY, "GET", "/quarantine", None)]
+        assert called == [(UNREACHABLE_ADDRESS, "GET", "/quarantine", None)]
 
     def test_clear(self, called):
-        result = RUNNER.invoke(ctl.app, ["clear", "ab12", "--at", NOBODY])
+        result = RUNNER.invoke(
+            ctl.app, ["clear", "ab12", "--at", UNREACHABLE_ADDRESS]
+        )
         assert result.exit_code == 0
         body = {"digest": "ab12"}
-        assert called == [(NOBODY, "POST", "/quarantine", body)]
+        assert called == [(UNREACHABLE_ADDRESS, "POST", "/quarantine", body)]
 
-    def test_nobody_there(self):
-        result = RUNNER.invoke(ctl.app, ["quarantine", "--at", NOBODY])
+    def test_unreachable_control_instance(self):
+        result = RUNNER.invoke(
+            ctl.app, ["quarantine", "--at", UNREACHABLE_ADDRESS]
+        )
         assert result.exit_code == ctl.Exit.UNREACHABLE
--- a/tests/test_logreading/test_losses.py
+++ b/tests/test_logreading/test_losses.py
@@ -1,4 +1,4 @@
-"""Losses told from logs."""
+"""Losses computed from logs."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 
 class TestLosses:
-    """What a whole answer is worth less."""
+    """Loss of complete, missing and partial answers."""
 
-    def test_whole_answer_loses_nothing(self):
+    def test_complete_answer_is_no_loss(self):
         found = find_losses(lines(answer("r", "answered", "s1:i-1+20ms")))
         assert found.answers == 1
         assert not found.by_cause
 
-    def test_answer_that_nobody_got(self):
+    def test_missing_answer(self):
         found = find_losses(lines(answer("r", "not_run_busy", at=7.9)))
         assert found.by_cause == {"not_run_busy": 1.0}
         assert found.by_second == {7: 1.0}
@@ -46,7 +46,7 @@
         [
             ("late/i-1", "late, no second send"),
             ("none", "no searcher"),
-            ("waits", "no place"),
+            ("waits", "no free connection"),
             ("broken", "connections broke"),
             ("refused", "searchers refused"),
             ("failed500", "searchers failed"),
@@ -59,10 +59,10 @@
                 answer("r", "partial", f"s1:{state},s3:i-9+20ms"),
             )
         )
-        (told,) = found.by_cause.items()
-        assert told == (f"partial: {cause}", pytest.approx(1 - 0.75**2))
+        (only_loss,) = found.by_cause.items()
+        assert only_loss == (f"partial: {cause}", pytest.approx(1 - 0.75**2))
 
-    def test_second_send_that_was_late_too(self):
+    def test_second_send_late_too(self):
         found = find_losses(
             lines(
                 *sent("r", "s0", "s1"),
@@ -72,7 +72,7 @@
         )
         assert list(found.by_cause) == ["partial: late, second send too"]
 
-    def test_shard_that_was_never_sent_to_counts(self):
+    def test_shard_without_a_send_counts(self):
         found = find_losses(
             lines(
                 *sent("r", "s0"),
@@ -100,4 +100,4 @@
         path.write_text("time=5.0 event=answer request_id=r ending=broken\n")
         result = CliRunner().invoke(app, ["losses", str(path)])
         assert result.exit_code == 0
-        assert "1 answers told, 0 of them partial, 1.0 lost" in result.output
+        assert "1 answers logged, 0 of them partial, 1.0 lost" in result.output
--- a/tests/test_logreading/test_stories.py
+++ b/tests/test_logreading/test_stories.py
@@ -1,4 +1,4 @@
-"""Stories told from recorded logs."""
+"""Explanations and timelines of recorded logs."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class TestLines:
-    """Lines as processes write them."""
+    """Parsing of log lines."""
 
     def test_quoted_values_and_prefixes(self):
         text = '  3.5 front-1 time=5.25 level=INFO event=x reason="a \\"b\\" c"'
@@ -32,44 +32,44 @@
         assert line.source == "front-1"
         assert line.get("reason") == 'a "b" c'
 
-    def test_other_text_is_left_out(self):
+    def test_other_text_is_skipped(self):
         assert read_lines(["Traceback", "time=now event=x", "time=1.0"]) == []
 
 
 class TestExplain:
-    """From a request's id to the reason of its end."""
+    """History of a request, and the reason for its result."""
 
     def test_partial(self):
-        story = "\n".join(explain(recorded(), "r-partial"))
-        assert "reason: the time for a whole answer was over" in story
-        assert "s3:late/i-31" in story
-        assert "i-31 lost 1.2 s before" in story
+        history = "\n".join(explain(recorded(), "r-partial"))
+        assert "reason: the time for a whole answer was over" in history
+        assert "s3:late/i-31" in history
+        assert "i-31 lost 1.2 s before" in history
 
     def test_refused(self):
-        story = "\n".join(explain(recorded(), "r-refused"))
-        assert "each searcher that was asked refused" in story
-        assert "2 x s1: not_run: not executed, 503" in story
+        history = "\n".join(explain(recorded(), "r-refused"))
+        assert "each searcher that was asked refused" in history
+        assert "2 x s1: not_run: not executed, 503" in history
 
     def test_sent_twice(self):
-        story = explain(recorded(), "r-twice")
-        assert any("sent beside" in line for line in story)
-        assert any("answers: answered, 2 sends" in line for line in story)
+        history = explain(recorded(), "r-twice")
+        assert any("sent beside" in line for line in history)
+        assert any("answers: answered, 2 sends" in line for line in history)
 
     def test_no_route(self):
-        story = explain(recorded(), "r-nowhere")
-        assert story[0] == "entry-1 knows no route for h/x in document 7"
+        history = explain(recorded(), "r-nowhere")
+        assert history[0] == "entry-1 has no route for h/x in document 7"
 
     def test_unknown(self):
-        assert explain(recorded(), "r-x") == ["no line names request r-x"]
+        assert explain(recorded(), "r-x") == ["no log line names request r-x"]
 
 
 class TestTimeline:
-    """What each process believed."""
+    """State changes of processes, and where they disagree."""
 
     def test_order_and_filter(self):
-        told = timeline(recorded(), searchers=False)
-        assert not any("i-31" in line for line in told)
-        times = [float(line.split()[0]) for line in told]
+        shown = timeline(recorded(), searchers=False)
+        assert not any("i-31" in line for line in shown)
+        times = [float(line.split()[0]) for line in shown]
         assert times == sorted(times)
         assert any("i-31" in x for x in timeline(recorded(), searchers=True))
 
@@ -88,7 +88,7 @@
 
 
 class TestCommands:
-    """The same from the command line."""
+    """The commands ``explain`` and ``timeline``."""
 
     def test_files(self):
         result = CliRunner().invoke(
