--- a/deploy/main.py
+++ b/deploy/main.py
@@ -1,21 +1,21 @@
-"""Runs the platform's program from the folder that the build makes."""
+"""Runs the platform program from the folder made by the build."""
 
 import sys
 from types import ModuleType
 
-# asyncio does without ssl where it can't be had, and nothing here speaks TLS.
-# Each start is 7 ms of processor time shorter without it.
+# asyncio works without ssl, and nothing here uses TLS. Without it, each start
+# takes 7 ms less processor time.
 sys.modules["ssl"] = None
-# Without OpenSSL's the digests of the interpreter itself are used; each process
-# is 3 MB smaller.
+# Without OpenSSL, hashlib uses the digests built into the interpreter, and each
+# process is 3 MB smaller.
 sys.modules["_hashlib"] = None
 try:
     import google._upb._message  # noqa: F401
 except ImportError:
     pass
 else:
-    # The library imports its slow form too, with the text format and all that
-    # it needs, and uses none of it where the fast form can be had.
+    # protobuf also imports its pure Python implementation, with the text format
+    # and its dependencies, but does not use it if the C implementation exists.
     unused = "google.protobuf.internal.python_message"
     sys.modules[unused] = ModuleType(unused)
 
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Requests that are not repeatable run at most once, and say so truly."""
+"""Requests that are not repeatable run at most once, with correct outcomes."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         return self.work_s, answer_to(msg)
 
     def renew(self) -> None:
-        """Has the searchers renew their announcements."""
+        """Makes the searchers renew their announcements."""
         self.renewal += 1
         for entry in ENTRIES:
             for name in "abc":
@@ -63,14 +63,14 @@
         return self.tokens
 
     def run(self, seconds: float) -> None:
-        """Lets time pass, with renewals."""
+        """Runs the fleet, renewing announcements every second."""
         until = self.fleet.now + seconds
         while self.fleet.now < until:
             self.renew()
             self.fleet.run(min(1.0, until - self.fleet.now))
 
     def code(self, token: int) -> Code | None:
-        """Returns the code that a booking got, None so far."""
+        """Returns the code of a booking's answer, None without an answer."""
         codes = [
             r.answer.code for r in self.fleet.replies(Reply) if r.token == token
         ]
@@ -87,15 +87,13 @@
 
 
 class TestResend:
-    """A resend gets the outcome, and never a second run."""
+    """A resend gets the outcome of the first run and never runs again."""
 
     def test_through_any_entry(self, bookings):
-        """Two crews at one well.
+        """Guards against a booking that runs twice.
 
-        Symptom: a crew is booked twice.
-        Sequence: the reply is lost; the caller sends the request again, to
-        another entry.
-        Cause: each entry only knows what it sent itself.
+        The reply is lost, and the caller resends the request to another
+        entry, which has no record of the first send of its own.
         """
         first = bookings.book("e1", REQUEST)
         bookings.run(1.0)
@@ -104,7 +102,7 @@
         assert bookings.code(first) == bookings.code(again) == Code.WHOLE
         assert bookings.runs == {REQUEST: 1}
 
-    def test_while_it_runs(self):
+    def test_while_the_first_is_running(self):
         bookings = Bookings(work_s=1.5)
         first = bookings.book("e1", REQUEST)
         bookings.run(0.5)
@@ -115,7 +113,7 @@
         assert bookings.code(first) == Code.WHOLE
         assert bookings.runs == {REQUEST: 1}
 
-    def test_both_at_once(self, bookings):
+    def test_sent_through_both_entries_at_once(self, bookings):
         tokens = [bookings.book(entry, REQUEST) for entry in ENTRIES]
         bookings.run(2.0)
         codes = {bookings.code(token) for token in tokens}
@@ -137,18 +135,20 @@
 
 
 class TestKilledEntry:
-    """An entry dies at any step between claim and outcome."""
+    """An entry or leader is killed between claim and outcome."""
 
-    def _run_until_sent(self, bookings, kind) -> None:
+    def _run_until_sent(self, bookings, is_wanted) -> None:
         sent = len(bookings.fleet.out)
 
-        def happened():
-            return any(kind(msg) for _, _, msg in bookings.fleet.out[sent:])
+        def was_sent():
+            return any(
+                is_wanted(msg) for _, _, msg in bookings.fleet.out[sent:]
+            )
 
-        while not happened():
+        while not was_sent():
             bookings.fleet.run(0.0005)
 
-    def _claimed(self, msg) -> bool:
+    def _is_claim(self, msg) -> bool:
         return (
             isinstance(msg, Send)
             and isinstance(msg.payload, OpRequest)
@@ -157,7 +157,7 @@
 
     def test_between_claim_and_send(self, bookings):
         bookings.book("e1", REQUEST)
-        self._run_until_sent(bookings, self._claimed)
+        self._run_until_sent(bookings, self._is_claim)
         bookings.fleet.kill("e1")
         bookings.run(0.5)
         early = bookings.book("e2", REQUEST)
@@ -195,15 +195,13 @@
 
 
 class TestFrozenEntry:
-    """An entry that sleeps past its claim's end does not send."""
+    """An entry that is frozen until its claim has expired does not send."""
 
-    def test_wakes_after_the_end(self, bookings):
-        """A crew that is booked an hour late.
+    def test_resumes_after_its_claim_expired(self, bookings):
+        """Guards against a booking that runs after it was reported unknown.
 
-        Symptom: a booking runs long after its caller was told "unknown".
-        Sequence: the claim is granted; the entry is frozen before it hears
-        of it; it wakes after the claim's end.
-        Cause: a claim without an end, or one that is not looked at.
+        The claim is granted while the entry is frozen; the entry receives the
+        grant only after the claim has expired and must not send.
         """
         token = bookings.book("e1", REQUEST, deadline=600.0)
         bookings.fleet.run(0.0015)
@@ -219,9 +217,9 @@
 
 
 class TestWithoutQuorum:
-    """Nothing is sent whose claim can't be confirmed."""
+    """A request whose claim can't be confirmed is not sent."""
 
-    def test_claim_lost_in_a_cut_is_not_run(self, bookings):
+    def test_partitioned_entry_does_not_run_it(self, bookings):
         bookings.fleet.cut_off("e1")
         token = bookings.book("e1", REQUEST)
         bookings.run(2.5)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Settings, documents and result codes, against their pages too."""
+"""Settings, documents and result codes, and their pages in docs/."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from greengagemoor.errors import DocumentError, SettingsError
 
 DOCS = Path(__file__).parent.parent / "docs"
-GOOD = {
+VALID = {
     "instance": "e1",
     "data_centre": "dc1",
     "http_address": "127.0.0.1:8001",
@@ -24,16 +24,16 @@
 
 
 def write(tmp_path, **changes) -> Path:
-    """Writes a settings file that differs from a good one."""
+    """Writes a valid settings file with some changes."""
     path = tmp_path / "settings.json"
-    path.write_text(json.dumps({**GOOD, **changes}))
+    path.write_text(json.dumps({**VALID, **changes}))
     return path
 
 
 class TestSettings:
-    """Every fault is named with its path."""
+    """Every fault is reported with its JSON path."""
 
-    def test_good_file(self, tmp_path):
+    def test_valid_file(self, tmp_path):
         assert load_settings(write(tmp_path)).instance == "e1"
 
     @pytest.mark.parametrize(
@@ -70,7 +70,7 @@
 
 
 class TestDocument:
-    """An invalid document is refused whole."""
+    """An invalid document is rejected as a whole."""
 
     @pytest.mark.parametrize(
         ("change", "fault"),
@@ -114,7 +114,7 @@
 
 
 class TestCodes:
-    """The page of result codes is the table of the code."""
+    """docs/RESULT-CODES.md lists the same codes as CODE_TABLE."""
 
     def test_page_and_table_agree(self):
         page = (DOCS / "RESULT-CODES.md").read_text()
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The examples of the pages are valid input."""
+"""The examples in docs/ are valid input."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 
 
 class TestExamples:
-    """Each marked block, as the class that reads it."""
+    """Each marked example is parsed as the class that it is an example of."""
 
-    def test_all_classes_are_shown(self):
+    def test_each_class_has_an_example(self):
         assert {name for name, _ in EXAMPLES} == {*CLASSES, Document.__name__}
 
     @pytest.mark.parametrize(("name", "text"), EXAMPLES)
@@ -42,10 +42,10 @@
             assert shape.parse_json(text, CLASSES[name])
 
 
-class TestGlossary:
-    """Every page that the README names is there."""
+class TestReadme:
+    """Every page that the README names exists."""
 
-    def test_pages(self):
+    def test_named_pages_exist(self):
         readme = (DOCS.parent / "README.md").read_text()
         for page in re.findall(r"docs/[A-Z-]+\.md", readme):
             assert (DOCS.parent / page).exists(), page
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The demo, in separate processes, as a newcomer runs it."""
+"""The examples: demo in separate processes, embedding, and documents."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TestDemo:
-    """One query through control, entries and searchers."""
+    """One query through control instance, entries and searchers."""
 
     def test_answer_is_whole(self, tmp_path):
         with Fleet(tmp_path) as fleet:
@@ -22,14 +22,14 @@
 
 
 class TestEmbedding:
-    """A part that runs without the daemons."""
+    """Membership, embedded without the daemons."""
 
-    def test_membership_finds_the_other(self):
+    def test_instances_find_each_other(self):
         assert set(embed_membership.run()) == {"a", "b"}
 
 
 class TestDocuments:
-    """The documents shipped for the two organisations."""
+    """The example documents of the two organisations."""
 
     @pytest.mark.parametrize(
         ("name", "searchers"), [("atlas", 85), ("darling-downs", 83)]
--- a/tests/test_logfields.py
+++ b/tests/test_logfields.py
@@ -1,4 +1,4 @@
-"""Every event and field that is logged is declared and documented."""
+"""Every logged event and field is declared and documented."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 PAGE = (PACKAGE.parent / "docs" / "OPERATIONS.md").read_text()
 
 
-def calls():
-    """Yields (file, event, fields) of each call that logs."""
+def logging_calls():
+    """Yields (file, event, fields) of each logging call."""
     files = (p for name in EVENT_LOOP for p in (PACKAGE / name).glob("*.py"))
     for path in chain(files, SHARED):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -31,10 +31,10 @@
 
 
 class TestTable:
-    """The table against the code, and the page against the table."""
+    """The table agrees with the logging calls and with docs/OPERATIONS.md."""
 
     def test_each_call_is_declared(self):
-        found = list(calls())
+        found = list(logging_calls())
         assert len(found) > 20
         undeclared = [
             (file, event, names - set(FIELDS))
@@ -43,7 +43,7 @@
         ]
         assert undeclared == []
 
-    def test_no_event_is_declared_in_vain(self):
+    def test_each_declared_event_is_logged(self):
         text = "".join(p.read_text() for p in PACKAGE.rglob("*.py"))
         missing = [e for e in EVENTS if text.count(f'"{e}"') < 2]
         assert missing == ["log_lines_dropped"] or missing == []
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""Golden file of one whole session through the deciders."""
+"""Golden file of a complete session through the deciders."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def all_in_state(fleet, names, state: str) -> bool:
-    """Whether all nodes say this of themselves."""
+    """Whether all nodes have this state in their own rows."""
     return all(
         fleet.nodes[name].membership.state.me.state.value == state
         for name in names
@@ -39,7 +39,7 @@
 
 
 def announce(fleet, entry: str = "e1", names="abc", **fields) -> None:
-    """Has searchers announce themselves at one entry."""
+    """Makes searchers announce themselves to one entry."""
     for token, name in enumerate(names, 100):
         row = server(name, announced_to=(entry,), **fields)
         fleet.put(entry, Announce(token, row, fields.get("sequence", 1)))
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -65,11 +65,11 @@
         wait_for("ready entries", lambda: all(map(self.is_ready, ENTRIES)))
 
     def group_is_whole(self) -> bool:
-        """Whether some leader counts three live voters."""
+        """Whether a leader reports three live voters."""
         return bool(self.leader(voters=3))
 
     def leader(self, voters: int = 2) -> str:
-        """Returns the leader that counts so many live voters, or ''."""
+        """Returns the leader that reports so many live voters, or ''."""
         for name in CONTROLS:
             status = self.fleet.get(self.http[name], "/v1/members") or {}
             alive = [
@@ -82,18 +82,18 @@
         return ""
 
     def is_ready(self, entry: str) -> bool:
-        """Whether an entry is ready and knows all searchers."""
+        """Whether an entry is ready and has received all searchers."""
         status = self.fleet.get(self.http[entry], "/v1/status") or {}
         ready = status.get("state") == "ready" and status["control_ready"]
         return ready and len(status["backend_servers"]) == len(SHARDS)
 
     def behave(self, **fields) -> None:
-        """Changes what all searchers do."""
+        """Changes the behaviour of all searchers."""
         for name in SHARDS:
             self.fleet.call("POST", self.http[name], "/behaviour", fields)
 
     def ask(self, entry: str, **fields):
-        """Sends a lookup; returns the JSON answer, None without one."""
+        """Sends a lookup; returns the JSON answer, or None without one."""
         body = {
             "caller": "atlas",
             "request_class": "lookup",
@@ -146,24 +146,23 @@
 
 
 def request_id(name: str) -> str:
-    """Returns a request id made now."""
+    """Returns a request id with the current time."""
     return f"{int(time.time() * 1000)}-{name}"
 
 
 def is_running(site: Site, wanted: str):
-    """Returns a condition: a searcher has begun to run the request."""
+    """Returns a condition: a searcher has started to run the request."""
     return lambda: site.runs(wanted) > 0
 
 
 class TestShutdown:
-    """SIGTERM cuts off nothing; kill -9 leaves a true code."""
+    """SIGTERM interrupts no request; kill -9 leaves a correct code."""
 
-    def test_sigterm_finishes_what_runs(self, site):
-        """A request cut off by a restart.
+    def test_sigterm_finishes_running_requests(self, site):
+        """Guards against requests that are interrupted by a restart.
 
-        Symptom: callers see connections reset whenever an entry restarts.
-        Sequence: a slow query and a booking run at an entry; it gets SIGTERM.
-        Cause: the process ends before its requests do.
+        A slow query and a booking run at an entry that receives SIGTERM; if
+        the process exited first, callers would see connection resets.
         """
         site.behave(delay_s=8.0)
         wanted = request_id("term")
@@ -189,7 +188,7 @@
         site.fleet.restart_instance("entry-2")
         wait_for("entry-2", lambda: site.is_ready("entry-2"))
 
-    def test_killed_entry_leaves_a_true_code(self, site):
+    def test_killed_entry_leaves_a_correct_code(self, site):
         site.behave(delay_s=1.5)
         wanted = request_id("kill")
         booking = Background(site.book, "entry-2", wanted)
@@ -207,15 +206,13 @@
 
 
 class TestControl:
-    """Control instances that die, freeze and lose their folders."""
+    """Control instances that are killed, frozen or lose their folders."""
 
-    def test_leader_killed_and_frozen_one_woken(self, site):
-        """Two leaders.
+    def test_frozen_leader_resumes(self, site):
+        """Guards against an accepted document that is reverted.
 
-        Symptom: an accepted document reverts when a frozen machine wakes.
-        Sequence: the leader is frozen; the others elect a new one and accept
-        a change; the old one wakes.
-        Cause: it still believes that it leads.
+        The leader is frozen, the others elect a new one and accept a change.
+        When the old leader resumes, it must not act as leader.
         """
         document = str(EXAMPLES / "contracts.json")
         frozen = site.leader()
@@ -276,15 +273,14 @@
 
 
 class TestSignals:
-    """Signals that come in a burst."""
+    """Signals in a burst."""
 
-    def test_many_sigterms_end_it_once(self, tmp_path):
-        """A process that SIGTERM does not end.
+    def test_many_sigterms_end_it_in_order(self, tmp_path):
+        """Guards against a process that hangs on SIGTERM.
 
-        Symptom: now and then a restart hangs until the instance is killed.
-        Sequence: a second SIGTERM comes while the first is being handled.
-        Cause: the handler sets an event, whose lock is held by the handler
-        that it interrupts.
+        A second SIGTERM arrives while the first is handled. A handler that
+        sets an event would then wait for the event's lock, which the
+        interrupted handler holds.
         """
         http, peer = free_addresses(2)
         with Fleet(tmp_path) as fleet:
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -1,4 +1,4 @@
-"""What is tracked is source: nothing built, packed or brought in whole."""
+"""Only sources are tracked: no archives, packages or compiled files."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 ROOT = Path(__file__).parent.parent
 
-PACKED_SUFFIXES = {
+BINARY_SUFFIXES = {
     ".7z",
     ".a",
     ".apk",
@@ -35,7 +35,7 @@
     ".zip",
     ".zst",
 }
-PACKED_HEADS = (
+BINARY_HEADS = (
     b"\x7fELF",
     b"PK\x03\x04",
     b"PK\x05\x06",
@@ -51,18 +51,18 @@
 )
 """First bytes of programs, shared objects, archives and class files."""
 DOS_HEAD = b"MZ"
-"""First bytes of a DOS program, and of some base64 texts; a program's header
-has NUL bytes behind them, a text has none."""
+"""First bytes of a DOS program, and of some base64 texts; only the program has
+NUL bytes after them."""
 TAR_MARK = (257, b"ustar")
 HEAD_BYTES = 262
 
 
-def is_packed(name: str, head: bytes) -> bool:
+def is_binary(name: str, head: bytes) -> bool:
     """Whether a file is a wheel, archive, shared object or program."""
     at, mark = TAR_MARK
     return (
-        not PACKED_SUFFIXES.isdisjoint(Path(name).suffixes)
-        or head.startswith(PACKED_HEADS)
+        not BINARY_SUFFIXES.isdisjoint(Path(name).suffixes)
+        or head.startswith(BINARY_HEADS)
         or (head.startswith(DOS_HEAD) and b"\0" in head)
         or head[at : at + len(mark)] == mark
     )
@@ -75,7 +75,7 @@
 
 
 def tracked() -> list[str]:
-    """Returns the names of all tracked files that are there."""
+    """Returns the names of all tracked files that exist."""
     listed = subprocess.run(
         ["git", "ls-files", "-z"], cwd=ROOT, capture_output=True, check=True
     )
@@ -84,20 +84,19 @@
 
 
 class TestTracked:
-    """A profiler's wheel of 2.9 MB stood at the root, declared nowhere.
+    """Guards against binaries that are committed by accident.
 
-    It came with a commit that added a test: the file lay in the folder and
-    everything was added. Nothing looked at what kind of files are tracked, so
-    review alone could have found it. It was listed as
+    A 2.9 MB wheel in the working folder was added along with a test, and
+    nothing checked the kind of tracked files. Its name was
 
         py_spy-0.4.3-py2.py3-none-manylinux1_x86_64.manylinux_2_5_x86_64.whl
     """
 
-    def test_nothing_packed(self):
+    def test_no_binaries(self):
         names = tracked()
         assert names
-        packed = [n for n in names if is_packed(n, read_head(ROOT / n))]
-        assert packed == []
+        found = [n for n in names if is_binary(n, read_head(ROOT / n))]
+        assert found == []
 
     @pytest.mark.parametrize(
         ("name", "head"),
@@ -111,8 +110,8 @@
             ("notes.dat", b"x" * 257 + b"ustar\x00"),
         ],
     )
-    def test_would_be_found(self, name, head):
-        assert is_packed(name, head)
+    def test_binary_is_found(self, name, head):
+        assert is_binary(name, head)
 
     @pytest.mark.parametrize(
         ("name", "head"),
@@ -123,5 +122,5 @@
             ("day.token", b"MZCFcEtdsKIjoq6JXG1jrXXPr+yTdv4V"),
         ],
     )
-    def test_source_is_none(self, name, head):
-        assert not is_packed(name, head)
+    def test_source_is_not_binary(self, name, head):
+        assert not is_binary(name, head)
