--- a/greengagemoor/cmd/ctl.py
+++ b/greengagemoor/cmd/ctl.py
@@ -121,7 +121,7 @@
 
 @app.command()
 def status(at: At = DEFAULT_AT) -> None:
-    """Shows what an instance knows: document, instances, backend servers."""
+    """Shows an instance's view: document, instances, backend servers."""
     reply = call(at, "GET", "/v1/status")
     show_body(reply.body)
     end_with(reply)
