--- a/greengagemoor/shell/__init__.py
+++ b/greengagemoor/shell/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, disks, threads and clocks around the pure deciders."""
+"""Sockets, disks, threads and clocks; the deciders use none of these."""
--- a/greengagemoor/shell/backend_api.py
+++ b/greengagemoor/shell/backend_api.py
@@ -26,7 +26,7 @@
 CANCELLED_STATUS = 409
 REFUSED_STATUS = 503
 
-_REASONS = {
+_FAILURES_BY_REASON = {
     "shed": Failure.SHED,
     "draining": Failure.DRAINING,
     "version_gone": Failure.VERSION_GONE,
@@ -46,8 +46,8 @@
     """A searcher's answer to an attempt.
 
     Attributes:
-        absent: shards that it does not hold; a shard without a result counts
-            as missing whether it stands here or not.
+        absent: shards that the searcher does not hold. A shard without a
+            result counts as missing, listed here or not.
     """
 
     attempt_id: str
@@ -60,10 +60,10 @@
 
 @attrs.frozen
 class RefusalBody:
-    """A searcher's refusal, or its word that the attempt failed.
+    """A searcher's refusal of an attempt, or its report of a failure.
 
     Attributes:
-        ran: whether any of the attempt may have run.
+        ran: whether any part of the attempt may have run.
         reason: shed, draining, version_gone, cancelled, or free text.
     """
 
@@ -73,15 +73,15 @@
     state: ServerState | None = None
 
 
-def attempt_name(process: str, attempt_id: int) -> str:
-    """Returns the id that a searcher sees; unique over all entries."""
+def global_attempt_id(process: str, attempt_id: int) -> str:
+    """Returns the attempt id sent to searchers, unique across entries."""
     return f"{process}/{attempt_id}"
 
 
 def request_body(msg: StartAttempt, process: str, remaining: float) -> bytes:
     """Returns the JSON body of an attempt."""
     body = {
-        "attempt_id": attempt_name(process, msg.attempt_id),
+        "attempt_id": global_attempt_id(process, msg.attempt_id),
         "request_id": msg.request_id,
         "caller": msg.caller,
         "service": msg.service,
@@ -97,7 +97,7 @@
 def read_answer(
     msg: StartAttempt, process: str, status: int, data: bytes
 ) -> AttemptAnswer | AttemptFailed:
-    """Turns a searcher's HTTP answer into a message for the decider."""
+    """Converts a searcher's HTTP response to a message for the decider."""
     try:
         if status == OK_STATUS:
             return _read_results(msg, process, data)
@@ -110,7 +110,7 @@
     msg: StartAttempt, process: str, data: bytes
 ) -> AttemptAnswer | AttemptFailed:
     body = shape.parse_json(data, AnswerBody)
-    if body.attempt_id != attempt_name(process, msg.attempt_id):
+    if body.attempt_id != global_attempt_id(process, msg.attempt_id):
         return AttemptFailed(msg.attempt_id, Failure.MISMATCH)
     return AttemptAnswer(
         attempt_id=msg.attempt_id,
@@ -138,5 +138,5 @@
     if status == CANCELLED_STATUS:
         return Failure.CANCELLED
     if status == REFUSED_STATUS and not body.ran:
-        return _REASONS.get(body.reason, Failure.SHED)
+        return _FAILURES_BY_REASON.get(body.reason, Failure.SHED)
     return Failure.ERROR
--- a/greengagemoor/shell/clock.py
+++ b/greengagemoor/shell/clock.py
@@ -1,4 +1,4 @@
-"""The clock of a process: near unix time, and never going back."""
+"""A clock close to unix time that never goes back."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class Clock:
-    """Unix seconds at the start, moved on by the monotonic clock.
+    """Unix time at the start, advanced by the monotonic clock.
 
-    The wall clock may be set back while we run; deadlines would then move,
-    and a claim could be sent after its end.
+    The wall clock may be set back while the process runs. Deadlines would
+    then move, and a request could be sent after its claim expired.
     """
 
     def __init__(self):
         self._offset = time.time() - time.monotonic()
 
     def now(self) -> float:
-        """Returns seconds."""
+        """Returns unix seconds."""
         return self._offset + time.monotonic()
--- a/greengagemoor/shell/disk.py
+++ b/greengagemoor/shell/disk.py
@@ -1,4 +1,4 @@
-"""The thread that writes and syncs; operations that wait share a sync."""
+"""Writes operations to disk in a thread; those waiting share a sync."""
 
 from __future__ import annotations
 
@@ -27,39 +27,39 @@
         self.syncs = 0
 
     def write(self, operation: Persist) -> None:
-        """Hands an operation over; ``Persisted`` follows when it is synced."""
+        """Queues an operation; ``Persisted`` follows when it is synced."""
         self._inbox.put(operation)
 
     def start(self) -> None:
-        """Starts writing."""
+        """Starts the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends after all that was handed over is synced."""
+        """Stops the thread after all queued operations are synced."""
         self._inbox.put(None)
         self._thread.join()
         self._store.close()
 
     def _run(self) -> None:
-        ending = False
-        while not ending:
-            operations, ending = self._collect()
+        stopping = False
+        while not stopping:
+            operations, stopping = self._collect()
             if operations:
                 self._write(operations)
 
     def _collect(self) -> tuple[list[Persist], bool]:
-        taken = [self._inbox.get()]
+        items = [self._inbox.get()]
         while not self._inbox.empty():
-            taken.append(self._inbox.get())
-        operations = [item for item in taken if item is not None]
-        return operations, len(operations) < len(taken)
+            items.append(self._inbox.get())
+        operations = [item for item in items if item is not None]
+        return operations, len(operations) < len(items)
 
     def _write(self, operations: list[Persist]) -> None:
         last = operations[-1].op
         try:
             self._store.write(operations)
         except Exception as exc:
-            # Not storage errors alone: if this thread died of another one,
+            # Not only storage errors: if any other one ended this thread,
             # the decider would wait for its sync for ever.
             log.event("disk_failed", level="ERROR", reason=exc)
             self._put(PersistFailed(operations[0].op, str(exc)))
--- a/greengagemoor/shell/dispatch.py
+++ b/greengagemoor/shell/dispatch.py
@@ -32,17 +32,17 @@
 CONNECT_TIMEOUT_S = 0.5
 CANCEL_TIMEOUT_S = 0.5
 MAX_ANSWER_BYTES = 16_000_000
-MOST_POOLS = 4096
+MAX_POOLS = 4096
 
-_current = threading.local()
+_thread_local = threading.local()
 
 
 class _TrackedConnection(HTTPConnection):
-    """Makes itself known to the attempt whose thread uses it."""
+    """Records itself in the attempt that its thread is running."""
 
     def request(self, *args, **kwargs):
         """Sends a request; see urllib3."""
-        flight = getattr(_current, "flight", None)
+        flight = getattr(_thread_local, "flight", None)
         if flight is not None:
             flight.conn = self
         return super().request(*args, **kwargs)
@@ -53,8 +53,12 @@
 
 
 @attrs.define(eq=False)
-class _Flight:
-    """An attempt under way."""
+class _InFlightAttempt:
+    """A running attempt.
+
+    Attributes:
+        conn: connection it was sent on, None until then.
+    """
 
     msg: StartAttempt
     conn: _TrackedConnection | None = None
@@ -62,8 +66,9 @@
 
 
 class Dispatcher:
-    """Runs attempts in threads; a pool for each searcher keeps to its share.
+    """Runs attempts in worker threads.
 
+    Each searcher has a connection pool, bounded by this entry's share.
     Every ``StartAttempt`` is answered by exactly one message.
     """
 
@@ -79,58 +84,60 @@
         self._put = put
         self._workers = ThreadPoolExecutor(threads, "attempts")
         self._pools: dict[str, _Pool] = {}
-        self._flights: dict[int, _Flight] = {}
-        self._busy: dict[str, int] = {}
+        self._in_flight: dict[int, _InFlightAttempt] = {}
+        self._running_by_address: dict[str, int] = {}
         self._lock = threading.Lock()
 
     def start_attempt(self, msg: StartAttempt) -> None:
-        """Starts an attempt in a thread of its own."""
-        flight = _Flight(msg)
+        """Queues an attempt for a worker thread."""
+        flight = _InFlightAttempt(msg)
         with self._lock:
-            self._flights[msg.attempt_id] = flight
-            self._busy[msg.address] = self._busy.get(msg.address, 0) + 1
+            self._in_flight[msg.attempt_id] = flight
+            self._running_by_address[msg.address] = (
+                self._running_by_address.get(msg.address, 0) + 1
+            )
         self._workers.submit(self._run, flight)
 
     def cancel_attempt(self, msg: CancelAttempt) -> None:
-        """Cancels by a message if a connection is free, else by hanging up.
+        """Sends a cancellation if a connection is free, else aborts.
 
-        A further connection for the message could pass the cap. A connection
-        that is hung up is closed, so no old answer can come on it later.
+        One more connection for the cancellation could exceed the share. An
+        aborted connection is closed, so no late answer can arrive on it.
         """
         with self._lock:
-            flight = self._flights.get(msg.attempt_id)
+            flight = self._in_flight.get(msg.attempt_id)
             if flight is None:
                 return
             flight.cancelled = True
-            busy = self._busy.get(msg.address, 0)
-        if busy < flight.msg.share:
+            running = self._running_by_address.get(msg.address, 0)
+        if running < flight.msg.share:
             self._workers.submit(self._send_cancel, flight)
         else:
-            self._hang_up(flight)
+            self._abort_connection(flight)
 
     def stop(self) -> None:
-        """Waits for attempts under way and closes all connections."""
+        """Waits for running attempts and closes all connections."""
         self._workers.shutdown(wait=True)
         for pool in self._pools.values():
             pool.close()
 
-    def _run(self, flight: _Flight) -> None:
+    def _run(self, flight: _InFlightAttempt) -> None:
         msg = flight.msg
-        _current.flight = flight
+        _thread_local.flight = flight
         try:
-            result = self._ask(flight)
+            result = self._send(flight)
         except Exception:
-            # Whatever went wrong, the decider must hear of it: an attempt
-            # without an end would hold a slot for ever.
+            # The end of an attempt must always be reported: one without an
+            # end would hold its slot for ever.
             result = AttemptFailed(msg.attempt_id, Failure.BROKEN)
         finally:
-            _current.flight = None
+            _thread_local.flight = None
             with self._lock:
-                self._flights.pop(msg.attempt_id, None)
-                self._busy[msg.address] -= 1
+                self._in_flight.pop(msg.attempt_id, None)
+                self._running_by_address[msg.address] -= 1
         self._put(result)
 
-    def _ask(self, flight: _Flight):
+    def _send(self, flight: _InFlightAttempt):
         msg = flight.msg
         now = self._clock.now()
         if flight.cancelled or now >= msg.send_before:
@@ -148,9 +155,9 @@
             return AttemptFailed(msg.attempt_id, failed)
 
     def _exchange(self, msg: StartAttempt, body: bytes, remaining: float):
-        """Sends and reads one answer.
+        """Sends the attempt and reads the answer.
 
-        ``retries=False``: urllib3 must not repeat an attempt by itself.
+        ``retries=False``: urllib3 must not retry an attempt by itself.
         """
         timeout = urllib3.Timeout(
             connect=min(CONNECT_TIMEOUT_S, remaining), total=remaining
@@ -167,13 +174,13 @@
             preload_content=False,
         )
         data = response.read(MAX_ANSWER_BYTES + 1)
-        whole = len(data) <= MAX_ANSWER_BYTES
+        within_limit = len(data) <= MAX_ANSWER_BYTES
         result = (
             backend_api.read_answer(msg, self._process, response.status, data)
-            if whole
+            if within_limit
             else AttemptFailed(msg.attempt_id, Failure.MISMATCH)
         )
-        if whole and not _is_mismatch(result):
+        if within_limit and not _is_mismatch(result):
             response.release_conn()
         else:
             response.close()
@@ -183,7 +190,7 @@
         with self._lock:
             pool = self._pools.get(msg.address)
             if pool is None:
-                self._forget_pools()
+                self._close_idle_pools()
                 host, _, port = msg.address.rpartition(":")
                 pool = _Pool(
                     host, int(port), maxsize=max(1, msg.share), block=True
@@ -191,19 +198,19 @@
                 self._pools[msg.address] = pool
             return pool
 
-    def _forget_pools(self) -> None:
-        """Closes pools of searchers that come and go, oldest first."""
-        idle = (a for a in self._pools if not self._busy.get(a))
-        while len(self._pools) >= MOST_POOLS:
+    def _close_idle_pools(self) -> None:
+        """Closes idle pools, oldest first, as searchers come and go."""
+        idle = (a for a in self._pools if not self._running_by_address.get(a))
+        while len(self._pools) >= MAX_POOLS:
             address = next(idle, None)
             if address is None:
                 return
             self._pools.pop(address).close()
 
-    def _send_cancel(self, flight: _Flight) -> None:
+    def _send_cancel(self, flight: _InFlightAttempt) -> None:
         msg = flight.msg
-        name = backend_api.attempt_name(self._process, msg.attempt_id)
-        body = json.dumps({"attempt_id": name}).encode()
+        global_id = backend_api.global_attempt_id(self._process, msg.attempt_id)
+        body = json.dumps({"attempt_id": global_id}).encode()
         try:
             self._pool(msg).urlopen(
                 "POST",
@@ -215,9 +222,9 @@
                 pool_timeout=CANCEL_TIMEOUT_S,
             )
         except (HTTPError, OSError):
-            self._hang_up(flight)
+            self._abort_connection(flight)
 
-    def _hang_up(self, flight: _Flight) -> None:
+    def _abort_connection(self, flight: _InFlightAttempt) -> None:
         sock = flight.conn.sock if flight.conn is not None else None
         if sock is not None:
             with contextlib.suppress(OSError):
--- a/greengagemoor/shell/peers.py
+++ b/greengagemoor/shell/peers.py
@@ -1,4 +1,4 @@
-"""Messages between our own processes, over grpclib, in a thread."""
+"""Sends and receives messages between instances, over grpclib."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
 
     from greengagemoor.control.messages import Send
 
-MOST_QUEUED = 2000
-MOST_IN_BATCH = 200
+MAX_QUEUED_PER_LINK = 2000
+MAX_MESSAGES_PER_BATCH = 200
 DELIVER_TIMEOUT_S = 2.0
-IDLE_S = 30.0
+LINK_IDLE_S = 30.0
 START_TIMEOUT_S = 10.0
-LAST_LOOKS = 20
-LAST_LOOK_S = 0.05
+SHUTDOWN_CHECKS = 20
+SHUTDOWN_CHECK_INTERVAL_S = 0.05
 
-# What a call to a peer that is gone, frozen or cut off can raise.
+# Raised by calls to a peer that is stopped, suspended or unreachable.
 _CALL_ERRORS = (
     OSError,
     GRPCError,
@@ -44,13 +44,13 @@
 
 
 class PeerService(PeersBase):
-    """Takes in batches from other processes."""
+    """Receives batches of messages from other instances."""
 
     def __init__(self, put: Callable[[object], None]):
         self._put = put
 
     async def Deliver(self, stream: Stream) -> None:  # noqa: N802
-        """Hands every message of a batch to the ticks."""
+        """Passes each message of a batch to the tick loop."""
         batch = await stream.recv_message()
         try:
             payloads = codec.from_batch(batch)
@@ -64,10 +64,12 @@
 
 @attrs.define(eq=False)
 class _Link:
-    """One address we send to; what waits goes as one batch."""
+    """An address to send to; queued messages are sent in batches."""
 
     address: str
-    queue: deque = attrs.field(factory=lambda: deque(maxlen=MOST_QUEUED))
+    queue: deque = attrs.field(
+        factory=lambda: deque(maxlen=MAX_QUEUED_PER_LINK)
+    )
     wake: asyncio.Event = attrs.field(factory=asyncio.Event)
     task: asyncio.Task | None = None
     channel: Channel | None = None
@@ -76,8 +78,8 @@
 class PeerTransport:
     """Sends and receives in one asyncio thread.
 
-    A message that can't be delivered is dropped: every protocol above
-    resends on its own clock.
+    A message that can't be delivered is dropped: every protocol that uses
+    this transport resends at its own intervals.
     """
 
     def __init__(
@@ -97,7 +99,7 @@
         self.sent_batches = 0
 
     def start(self) -> None:
-        """Listens; returns once connections are accepted."""
+        """Starts the thread; returns once connections are accepted."""
         self._thread.start()
         if not self._ready.wait(START_TIMEOUT_S) or self._server is None:
             raise OSError(f"can't listen on {self._host}:{self._port}")
@@ -107,7 +109,7 @@
         self._loop.call_soon_threadsafe(self._enqueue, msg)
 
     def stop(self) -> None:
-        """Gives what is queued a moment to leave, and ends."""
+        """Waits briefly for queued messages to be sent, then stops."""
         fut = asyncio.run_coroutine_threadsafe(self._shut_down(), self._loop)
         fut.result(START_TIMEOUT_S)
         self._loop.call_soon_threadsafe(self._loop.stop)
@@ -139,15 +141,15 @@
             link.task = self._loop.create_task(self._drain(link))
 
     async def _drain(self, link: _Link) -> None:
-        """Sends what waits, until nothing came for a while."""
+        """Sends queued messages until none came for ``LINK_IDLE_S``."""
         while await self._has_work(link):
-            count = min(len(link.queue), MOST_IN_BATCH)
+            count = min(len(link.queue), MAX_MESSAGES_PER_BATCH)
             payloads = [link.queue.popleft() for _ in range(count)]
             try:
                 await self._deliver(link, payloads)
             except Exception as exc:
-                # Whatever it was, the link must go on: a task that died would
-                # leave this peer without a word for ever.
+                # No error may end this task: it would not be started again,
+                # and the peer would receive nothing more.
                 log.event("peer_send_broke", level="ERROR", reason=repr(exc))
                 self._close(link)
         self._close(link)
@@ -157,7 +159,7 @@
         if not link.queue:
             link.wake.clear()
             with contextlib.suppress(asyncio.TimeoutError):
-                await asyncio.wait_for(link.wake.wait(), IDLE_S)
+                await asyncio.wait_for(link.wake.wait(), LINK_IDLE_S)
         return bool(link.queue)
 
     async def _deliver(self, link: _Link, payloads: list[object]) -> None:
@@ -185,11 +187,11 @@
             link.channel = None
 
     async def _shut_down(self) -> None:
-        for _ in range(LAST_LOOKS):
+        for _ in range(SHUTDOWN_CHECKS):
             if not any(link.queue for link in self._links.values()):
                 break
-            await asyncio.sleep(LAST_LOOK_S)
-        await asyncio.sleep(LAST_LOOK_S)
+            await asyncio.sleep(SHUTDOWN_CHECK_INTERVAL_S)
+        await asyncio.sleep(SHUTDOWN_CHECK_INTERVAL_S)
         for link in self._links.values():
             if link.task is not None:
                 link.task.cancel()
--- a/greengagemoor/shell/replies.py
+++ b/greengagemoor/shell/replies.py
@@ -1,4 +1,4 @@
-"""Connects waiting threads with the messages that answer them."""
+"""Passes replies to the threads that wait for them."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
         return token, fut
 
     def give(self, token: int, value: Any) -> None:
-        """Answers a token; nothing happens when nobody waits any more."""
+        """Sets the answer of a token; does nothing if nobody waits for it."""
         with self._lock:
             fut = self._waiting.pop(token, None)
         if fut is not None:
             fut.set_result(value)
 
     def wait(self, token: int, fut: Future, timeout: float) -> Any | None:
-        """Returns the answer, or None when it did not come in time."""
+        """Returns the answer, or None if it did not come in time."""
         try:
             return fut.result(timeout)
         except FutureTimeoutError:
