--- a/greengagemoor/shell/group_notes.py
+++ b/greengagemoor/shell/group_notes.py
@@ -1,4 +1,4 @@
-"""Logs what a member of the control group tells its operators."""
+"""Logs the notices of a member of the control group."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def write(msg: object) -> bool:
-    """Logs a notice; tells whether the message was one."""
+    """Logs a notice; returns whether the message was one."""
     writer = WRITERS.get(type(msg))
     if writer is None:
         return False
@@ -20,7 +20,7 @@
     return True
 
 
-def _write_members(msg: MembersChanged) -> None:
+def _log_members(msg: MembersChanged) -> None:
     log.event(
         "members",
         joined=",".join(msg.joined),
@@ -34,7 +34,7 @@
     )
 
 
-def _write_join_waiting(msg: JoinWaiting) -> None:
+def _log_join_waiting(msg: JoinWaiting) -> None:
     log.event(
         "join_waiting",
         level="WARNING",
@@ -45,6 +45,6 @@
 
 
 WRITERS: dict[type, Callable[[object], None]] = {
-    MembersChanged: _write_members,
-    JoinWaiting: _write_join_waiting,
+    MembersChanged: _log_members,
+    JoinWaiting: _log_join_waiting,
 }
--- a/greengagemoor/shell/http_messages.py
+++ b/greengagemoor/shell/http_messages.py
@@ -1,4 +1,4 @@
-"""JSON bodies of the HTTP interface towards callers and operators."""
+"""JSON bodies exchanged with callers, backend servers and operators."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 @attrs.frozen
 class ApplyBody:
-    """An operator's change of the document."""
+    """An operator's request to replace the document."""
 
     apply_id: str = attrs.field(validator=[is_name])
     replaces: int = attrs.field(validator=in_range(0, 2**53))
@@ -57,7 +57,7 @@
 
 @attrs.frozen
 class Response:
-    """What goes back over HTTP."""
+    """An HTTP response."""
 
     status: int
     body: bytes
@@ -68,7 +68,7 @@
 def json_response(
     code: Code, fields: dict[str, Any], retry_after_s: float | None = None
 ) -> Response:
-    """Returns a response with a numbered result code and more fields."""
+    """Returns a response with a result code and further fields."""
     body = {"code": int(code), "name": code.name, **fields}
     if retry_after_s is not None:
         body["retry_after_s"] = retry_after_s
@@ -80,7 +80,7 @@
 
 
 def answer_response(answer: Answer) -> Response:
-    """Returns the response that carries an answer."""
+    """Returns the response for the answer to a request."""
     fields = {
         "request_id": answer.request_id,
         "snapshot": answer.snapshot,
--- a/greengagemoor/shell/http_server.py
+++ b/greengagemoor/shell/http_server.py
@@ -1,4 +1,4 @@
-"""The cheroot server in front of the routes."""
+"""The HTTP server, based on cheroot."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
     from greengagemoor.application import Application
     from greengagemoor.config import Settings
 
-REQUEST_QUEUE = 512
+REQUEST_QUEUE_SIZE = 512
 SHUTDOWN_TIMEOUT_S = 5
 
 
 class HttpServer:
     """Serves callers, backend servers and operators.
 
-    cheroot holds a thread for each request that waits. Requests that wait
-    are bounded below the threads (``Application.gate``), so that refusals,
-    addresses and health still find one in a spike.
+    cheroot needs a thread for each waiting request. ``Application.gate``
+    admits fewer requests than there are threads, so that rejections, address
+    lookups and health checks are still served during a load spike.
     """
 
     def __init__(self, cfg: Settings, app: Application):
@@ -43,7 +43,7 @@
             self._serve,
             numthreads=cfg.http_threads,
             max=cfg.http_threads,
-            request_queue_size=REQUEST_QUEUE,
+            request_queue_size=REQUEST_QUEUE_SIZE,
             timeout=cfg.read_timeout_s,
             shutdown_timeout=SHUTDOWN_TIMEOUT_S,
             server_name="greengagemoor",
@@ -54,12 +54,12 @@
         self._thread = threading.Thread(target=self._server.serve, name="http")
 
     def start(self) -> None:
-        """Listens; connections are accepted when this returns."""
+        """Starts the server; connections are accepted when this returns."""
         self._server.prepare()
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends; requests under way are given a moment."""
+        """Stops; running requests get ``SHUTDOWN_TIMEOUT_S`` to finish."""
         self._server.stop()
         self._thread.join()
 
@@ -89,10 +89,10 @@
                 body,
             )
         except MaxSizeExceeded:
-            return _error(413, "the body is too large")
+            return _error(413, "request body too large")
         except Exception as exc:
-            # One bad request must end alone: the caller gets a code, and the
-            # thread goes on to serve others.
+            # A failing request must not affect others: its caller receives
+            # a code, and the thread serves the next request.
             self._app.metrics.count("http_failures")
             log.event("http_failed", level="ERROR", reason=repr(exc))
             return _error(500, "internal error")
--- a/greengagemoor/shell/loop.py
+++ b/greengagemoor/shell/loop.py
@@ -1,4 +1,4 @@
-"""The tick loop: one thread that drives the deciders."""
+"""The tick loop: a thread that runs the deciders."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     from greengagemoor.node import Node
     from greengagemoor.shell.clock import Clock
 
-LONGEST_SLEEP_S = 1.0
-MOST_MESSAGES = 2000
+MAX_SLEEP_S = 1.0
+MAX_MESSAGES_PER_TICK = 2000
 
 
 class TickLoop:
-    """Takes messages from other threads, ticks, and acts on what comes out."""
+    """Passes messages to the deciders and handles their output."""
 
     def __init__(self, node: Node, clock: Clock, bus: Events):
         self._node = node
@@ -35,19 +35,19 @@
     def add_handler(
         self, kind: type, handler: Callable[[object], None]
     ) -> None:
-        """Sets what is done with a kind of message that a tick sends."""
+        """Sets the handler for a type of output message."""
         self._handlers[kind] = handler
 
     def put(self, msg: object) -> None:
-        """Hands a message to the next tick; callable from any thread."""
+        """Queues a message for the next tick; callable from any thread."""
         self._inbox.put(msg)
 
     def start(self) -> None:
-        """Starts ticking."""
+        """Starts the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends the loop after the tick under way."""
+        """Stops the loop after the current tick."""
         self._stopping.set()
         self._inbox.put(None)
         self._thread.join()
@@ -55,34 +55,34 @@
     def _run(self) -> None:
         while not self._stopping.is_set():
             msgs = self._collect()
-            # One message that no decider can digest must not end the requests
-            # of all others: the tick is logged and counted, and ticks go on.
+            # A message on which a decider raises must not end all other
+            # requests: the failure is logged and counted, the loop goes on.
             try:
                 out = self._node.step(self._clock.now(), msgs)
             except Exception as exc:
-                self._note_failure(exc)
+                self._record_failure(exc)
                 continue
             for msg in out:
-                self._act(msg)
+                self._handle(msg)
 
     def _collect(self) -> list[object]:
         wait = self._node.next_wake() - self._clock.now()
-        wait = min(max(wait, 0.0), LONGEST_SLEEP_S)
+        wait = min(max(wait, 0.0), MAX_SLEEP_S)
         msgs: list[object] = []
         try:
             if wait > 0:
                 msgs.append(self._inbox.get(timeout=wait))
-            while len(msgs) < MOST_MESSAGES:
+            while len(msgs) < MAX_MESSAGES_PER_TICK:
                 msgs.append(self._inbox.get_nowait())
         except queue.Empty:
             pass
         return [msg for msg in msgs if msg is not None]
 
-    def _act(self, msg: object) -> None:
-        """Acts on one message; a failure leaves the others of its tick alone.
+    def _handle(self, msg: object) -> None:
+        """Handles one message; an exception doesn't end the rest of the tick.
 
-        A listener of an embedder may raise, and the same tick may hold the
-        answers of many callers.
+        An embedder's listener may raise, and the same tick may hold the
+        answers to many callers.
         """
         handler = self._handlers.get(type(msg))
         if handler is None:
@@ -90,9 +90,9 @@
         try:
             handler(msg)
         except Exception as exc:
-            self._note_failure(exc)
+            self._record_failure(exc)
 
-    def _note_failure(self, exc: Exception) -> None:
+    def _record_failure(self, exc: Exception) -> None:
         self.failures += 1
         log.event(
             "tick_failed",
--- a/greengagemoor/shell/notes.py
+++ b/greengagemoor/shell/notes.py
@@ -1,4 +1,4 @@
-"""Logs what the deciders say of documents, servers and control."""
+"""Logs changes of the document, of backend servers and of control."""
 
 from __future__ import annotations
 
@@ -17,33 +17,37 @@
 
 
 def connect(add: AddHandler, bus: Events) -> None:
-    """Logs these messages, and passes them on to the listeners.
+    """Adds handlers that log these messages and notify the listeners.
 
     Args:
-        add: sets what is done with a kind of message.
-        bus: where listeners are connected.
+        add: sets the handler for a type of message.
+        bus: the listeners to notify.
     """
 
-    def note(kind: type, event: str, write: Callable[[object], None]) -> None:
+    def add_notifying(
+        kind: type, event: str, write: Callable[[object], None]
+    ) -> None:
         def handle(msg: object) -> None:
             write(msg)
             bus.emit(event, msg)
 
         add(kind, handle)
 
-    note(query.DocumentChanged, events.DOCUMENT_IN_FORCE, _write_document)
-    note(query.ServerChanged, events.SERVER_CHANGED, _write_server)
-    note(query.ServerGone, events.SERVER_CHANGED, _write_server_gone)
-    note(query.ControlReady, events.CONTROL_CHANGED, _write_control)
+    add_notifying(
+        query.DocumentChanged, events.DOCUMENT_IN_FORCE, _log_document
+    )
+    add_notifying(query.ServerChanged, events.SERVER_CHANGED, _log_server)
+    add_notifying(query.ServerGone, events.SERVER_CHANGED, _log_server_gone)
+    add_notifying(query.ControlReady, events.CONTROL_CHANGED, _log_control)
     for kind, write in group_notes.WRITERS.items():
         add(kind, write)
 
 
-def _write_document(msg: query.DocumentChanged) -> None:
+def _log_document(msg: query.DocumentChanged) -> None:
     log.event("document_in_force", version=msg.version)
 
 
-def _write_server(msg: query.ServerChanged) -> None:
+def _log_server(msg: query.ServerChanged) -> None:
     log.event(
         "server_changed",
         service=msg.server.service,
@@ -53,9 +57,9 @@
     )
 
 
-def _write_server_gone(msg: query.ServerGone) -> None:
+def _log_server_gone(msg: query.ServerGone) -> None:
     log.event("server_gone", service=msg.service, server=msg.name)
 
 
-def _write_control(msg: query.ControlReady) -> None:
+def _log_control(msg: query.ControlReady) -> None:
     log.event("control_ready", ready=msg.ready)
--- a/greengagemoor/shell/routes.py
+++ b/greengagemoor/shell/routes.py
@@ -1,4 +1,4 @@
-"""The HTTP interface: which path does what."""
+"""Routes of the HTTP interface, and their handlers."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
     from greengagemoor.application import Application
     from greengagemoor.control.client import Done
 
-QUICK_WAIT_S = 2.0
-APPLY_WAIT_S = 8.0
+MEMBERSHIP_TIMEOUT_S = 2.0
+OPERATION_TIMEOUT_S = 8.0
 ANSWER_GRACE_S = 1.0
 MAX_WAIT_S = 600.0
-BUSY_RETRY_S = 0.2
+RETRY_AFTER_S = 0.2
 
 
 @attrs.frozen
 class HttpRequest:
-    """What a route gets."""
+    """A request, as a handler receives it."""
 
     app: Application
     path: re.Match
@@ -49,13 +49,13 @@
     body: bytes
 
     def argument(self, name: str) -> str:
-        """Returns a query argument, '' if it is absent."""
+        """Returns a query argument, or '' if absent."""
         return self.query.get(name, [""])[0]
 
 
 @attrs.frozen
 class Route:
-    """A method and path, and what answers them."""
+    """A handler for a method and a pattern of paths."""
 
     method: str
     pattern: re.Pattern
@@ -80,10 +80,10 @@
 ) -> Response:
     """Answers one HTTP request."""
     matches = [(r, r.pattern.fullmatch(path)) for r in app.routes]
-    fitting = [(r, match) for r, match in matches if match is not None]
-    chosen = [(r, match) for r, match in fitting if r.method == method]
+    path_matches = [(r, match) for r, match in matches if match is not None]
+    chosen = [(r, match) for r, match in path_matches if r.method == method]
     if not chosen:
-        return _no_route(bool(fitting), path)
+        return _no_route(bool(path_matches), path)
     chosen_route, match = chosen[0]
     try:
         return chosen_route.handler(
@@ -141,24 +141,24 @@
 
 @route("DELETE", "/v1/members/(.+)")
 def _remove_member(req: HttpRequest) -> Response:
-    done = _operate(req.app, OpKind.REMOVE_MEMBER, member_id=req.path[1])
-    return _done_response(done)
+    done = _run_operation(req.app, OpKind.REMOVE_MEMBER, member_id=req.path[1])
+    return _operation_response(done)
 
 
 @route("GET", "/v1/addresses")
 def _addresses(req: HttpRequest) -> Response:
-    found = req.app.ask(
+    reply = req.app.ask(
         lambda token: AskAddresses(
             token, req.argument("service"), req.argument("data_centre")
         ),
-        QUICK_WAIT_S,
+        MEMBERSHIP_TIMEOUT_S,
     )
-    if found is None:
-        return _busy()
+    if reply is None:
+        return _overload_response()
     body = {
-        "service": found.service,
-        "addresses": [attrs.asdict(row) for row in found.addresses],
-        "valid_for_s": found.valid_for_s,
+        "service": reply.service,
+        "addresses": [attrs.asdict(row) for row in reply.addresses],
+        "valid_for_s": reply.valid_for_s,
     }
     return Response(200, json.dumps(body).encode())
 
@@ -173,10 +173,10 @@
         return json_response(Code.ANNOUNCEMENT_INVALID, fields)
     reply = req.app.ask(
         lambda token: Announce(token, body.server, body.renewal),
-        QUICK_WAIT_S,
+        MEMBERSHIP_TIMEOUT_S,
     )
     if reply is None:
-        return _busy()
+        return _overload_response()
     fields = {
         "incarnation": reply.incarnation,
         "sequence": reply.sequence,
@@ -190,8 +190,11 @@
     body = shape.parse_json(req.body, RequestBody)
     if not req.app.gate.acquire(blocking=False):
         req.app.note_gate_full()
-        fields = {"request_id": body.request_id, "detail": "entry is full"}
-        return json_response(Code.NOT_RUN_OVERLOAD, fields, BUSY_RETRY_S)
+        fields = {
+            "request_id": body.request_id,
+            "detail": "entry has too many waiting requests",
+        }
+        return json_response(Code.NOT_RUN_OVERLOAD, fields, RETRY_AFTER_S)
     try:
         return _run_request(req, body)
     finally:
@@ -201,7 +204,7 @@
 def _run_request(req: HttpRequest, body: RequestBody) -> Response:
     text = json.dumps(body.body) if body.body is not None else ""
 
-    def make(token: int) -> Request:
+    def make_request(token: int) -> Request:
         return Request(
             token=token,
             caller=body.caller,
@@ -216,18 +219,21 @@
         )
 
     wait = (body.deadline_s or MAX_WAIT_S) + ANSWER_GRACE_S
-    reply = req.app.ask(make, wait)
+    reply = req.app.ask(make_request, wait)
     if reply is None:
-        fields = {"request_id": body.request_id, "detail": "no answer in time"}
-        return json_response(Code.UNKNOWN, fields, BUSY_RETRY_S)
+        fields = {
+            "request_id": body.request_id,
+            "detail": "no answer within the time limit",
+        }
+        return json_response(Code.UNKNOWN, fields, RETRY_AFTER_S)
     return answer_response(reply.answer)
 
 
 @route("GET", "/v1/document")
 def _show_document(req: HttpRequest) -> Response:
-    done = _operate(req.app, OpKind.READ)
+    done = _run_operation(req.app, OpKind.READ)
     if done is None or done.reply.code != Code.CURRENT:
-        detail = {"detail": "no quorum confirmed what is current"}
+        detail = {"detail": "no quorum confirmed the current version"}
         return json_response(Code.NOT_LEADER, detail, 1.0)
     text = done.reply.text
     fields = {
@@ -246,25 +252,27 @@
         text=json.dumps(body.document, sort_keys=True),
         time=0.0,
     )
-    return _done_response(_operate(req.app, OpKind.APPLY, command))
+    return _operation_response(_run_operation(req.app, OpKind.APPLY, command))
 
 
-def _operate(
+def _run_operation(
     app: Application,
     kind: OpKind,
     command: ApplyDocument | None = None,
     member_id: str = "",
 ) -> Done | None:
-    deadline = app.clock.now() + APPLY_WAIT_S
+    deadline = app.clock.now() + OPERATION_TIMEOUT_S
     return app.ask(
         lambda token: Ask(token, kind, deadline, command, member_id=member_id),
-        APPLY_WAIT_S + ANSWER_GRACE_S,
+        OPERATION_TIMEOUT_S + ANSWER_GRACE_S,
     )
 
 
-def _done_response(done: Done | None) -> Response:
+def _operation_response(done: Done | None) -> Response:
     if done is None:
-        return json_response(Code.APPLY_UNKNOWN, {"detail": "no answer"})
+        return json_response(
+            Code.APPLY_UNKNOWN, {"detail": "no answer from the control group"}
+        )
     reply = done.reply
     fields = {
         "version": reply.version,
@@ -274,6 +282,6 @@
     return json_response(Code(reply.code), fields)
 
 
-def _busy() -> Response:
+def _overload_response() -> Response:
     detail = {"detail": CODE_TABLE[Code.NOT_RUN_OVERLOAD].meaning}
-    return json_response(Code.NOT_RUN_OVERLOAD, detail, BUSY_RETRY_S)
+    return json_response(Code.NOT_RUN_OVERLOAD, detail, RETRY_AFTER_S)
--- a/greengagemoor/shell/status.py
+++ b/greengagemoor/shell/status.py
@@ -1,4 +1,4 @@
-"""What an instance tells operators of itself."""
+"""Status and gauges of an instance, for operators."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 if TYPE_CHECKING:
     from greengagemoor.node import Node
 
-LONGEST_AGO_S = 1e9
+# Bounds ``control_heard_s_ago``, infinite before the first confirmation.
+MAX_CONTROL_AGE_S = 1e9
 
 
 def describe(node: Node, now: float) -> dict[str, Any]:
-    """Returns the JSON of ``/v1/status``."""
+    """Returns the JSON object of ``/v1/status``."""
     state = node.membership.state
-    heard_ago = min(now - state.fresh_at, LONGEST_AGO_S)
+    control_age = min(now - state.fresh_at, MAX_CONTROL_AGE_S)
     return {
         "instance": state.me.name,
         "state": state.me.state.value,
@@ -22,7 +23,7 @@
         "document_version": state.document_version,
         "confirmed": state.confirmed,
         "control_ready": state.control_ready,
-        "control_heard_s_ago": round(heard_ago, 3),
+        "control_heard_s_ago": round(control_age, 3),
         "instances": {
             row.name: row.state.value
             for row in list(state.table.live_instances.values())
@@ -35,16 +36,16 @@
 
 
 def gauges(node: Node) -> dict[str, float]:
-    """Returns the deciders' numbers of the moment for ``/metrics``."""
+    """Returns the deciders' current gauges and counters for ``/metrics``."""
     state = node.membership.state
-    found: dict[str, float] = {
+    values: dict[str, float] = {
         "instances": len(state.table.live_instances),
         "backend_servers": len(state.shown),
         "document_version": state.document_version,
     }
     if node.query is not None:
         counters = node.query.state.counters
-        found |= {
+        values |= {
             "attempts_total": counters.attempts,
             "hedged_shards_total": counters.hedge_shards,
             "retried_shards_total": counters.retry_shards,
@@ -53,4 +54,4 @@
             "joined_requests_total": counters.joined,
             "refused_requests_total": counters.refused,
         }
-    return found
+    return values
