--- a/tests/test_shell/test_disk.py
+++ b/tests/test_shell/test_disk.py
@@ -1,4 +1,4 @@
-"""The disk thread: one sync for what waits, and no silent death."""
+"""Disk thread: waiting operations share a sync, failures are reported."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         self.batches: list[list[Persist]] = []
 
     def write(self, operations: list[Persist]) -> None:
-        """Takes operations, or raises."""
+        """Records operations, or raises."""
         if self.failure is not None:
             raise self.failure
         self.batches.append(list(operations))
@@ -29,35 +29,35 @@
 
 
 def run(store: FakeStore, count: int) -> list:
-    """Writes some operations before the thread starts; returns its words."""
-    said: queue.SimpleQueue = queue.SimpleQueue()
-    writer = DiskWriter(store, said.put)
+    """Queues operations, starts the thread, returns its first message."""
+    messages: queue.SimpleQueue = queue.SimpleQueue()
+    writer = DiskWriter(store, messages.put)
     for op in range(1, count + 1):
         writer.write(Persist(op))
     writer.start()
-    first = said.get(timeout=WAIT_S)
+    first = messages.get(timeout=WAIT_S)
     writer.stop()
     return [first]
 
 
 class TestDiskWriter:
-    """What waits shares a sync; every failure is told."""
+    """Waiting operations share a sync; every failure is reported."""
 
-    def test_group_commit(self):
+    def test_waiting_operations_share_a_sync(self):
         store = FakeStore()
         assert run(store, 5) == [Persisted(5)]
         assert [len(batch) for batch in store.batches] == [5]
 
-    def test_failed_sync_is_told(self):
-        (told,) = run(FakeStore(SyncFailedError("full")), 2)
-        assert told == PersistFailed(1, "full")
+    def test_failed_sync_is_reported(self):
+        (message,) = run(FakeStore(SyncFailedError("full")), 2)
+        assert message == PersistFailed(1, "full")
 
-    def test_any_other_failure_is_told_too(self):
-        """A member that waits for ever.
+    def test_any_other_exception_is_reported(self):
+        """The decider must not wait for ever for a sync.
 
-        Symptom: a control instance answers nobody, and its log is silent.
-        Sequence: a write raises something that is no storage error.
-        Cause: the disk thread dies, and nobody hears of it.
+        A write raises something other than a storage error. If that ends the
+        disk thread unreported, the control instance answers nobody and logs
+        nothing.
         """
-        (told,) = run(FakeStore(ValueError("odd")), 1)
-        assert isinstance(told, PersistFailed)
+        (message,) = run(FakeStore(ValueError("odd")), 1)
+        assert isinstance(message, PersistFailed)
--- a/tests/test_shell/test_http.py
+++ b/tests/test_shell/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of one entry: bad input, spikes, and codes."""
+"""The HTTP interface of one entry: bad input, load spikes, codes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from greengagemoor.config import PeerSettings, Settings
 from greengagemoor.query.messages import Reply
 
-WAITING = 4
+MAX_WAITING = 4
 
 
 @pytest.fixture(scope="module")
@@ -30,8 +30,8 @@
         control_group=(PeerSettings("e1", peer),),
         data_folder=str(tmp_path_factory.mktemp("data")),
         new_group=True,
-        http_threads=WAITING + 4,
-        waiting_requests=WAITING,
+        http_threads=MAX_WAITING + 4,
+        waiting_requests=MAX_WAITING,
         max_body_bytes=10_000,
         read_timeout_s=1.0,
         addresses_valid_s=0.1,
@@ -87,12 +87,12 @@
             return response.status, response.data.decode()
 
 
-ASK = "/v1/services/s/requests"
+REQUESTS_PATH = "/v1/services/s/requests"
 REQUEST = {"caller": "atlas", "request_class": "read", "request_id": "r"}
 
 
 class TestBadInput:
-    """Rubbish costs only its own request, and gets a code."""
+    """Invalid input fails only its own request, with a code."""
 
     @pytest.mark.parametrize(
         ("body", "fault"),
@@ -104,30 +104,30 @@
             ([1, 2], "$"),
         ],
     )
-    def test_faults_have_paths(self, client, body, fault):
-        status, reply = client.call("POST", ASK, body)
+    def test_faults_name_the_field(self, client, body, fault):
+        status, reply = client.call("POST", REQUESTS_PATH, body)
         assert status == 400
         assert reply["name"] == "NOT_RUN_BAD_REQUEST"
         assert any(fault in line for line in reply["faults"])
 
     def test_not_json(self, client):
-        status, reply = client.call("POST", ASK, raw=b"{no")
+        status, reply = client.call("POST", REQUESTS_PATH, raw=b"{no")
         assert (status, reply["code"]) == (400, 207)
 
     def test_deep_nesting(self, client):
         raw = b"[" * 5000
-        status, reply = client.call("POST", ASK, raw=raw)
+        status, reply = client.call("POST", REQUESTS_PATH, raw=raw)
         assert (status, reply["code"]) == (400, 207)
 
     def test_body_too_large(self, client):
-        status, _ = client.call("POST", ASK, raw=b"x" * 20_000)
+        status, _ = client.call("POST", REQUESTS_PATH, raw=b"x" * 20_000)
         assert status == 413
 
     @pytest.mark.parametrize(
         ("method", "path", "status"),
         [("GET", "/nowhere", 404), ("PATCH", "/healthz", 405)],
     )
-    def test_unknown_paths(self, client, method, path, status):
+    def test_unknown_path_or_method(self, client, method, path, status):
         assert client.call(method, path)[0] == status
 
     def test_unknown_service(self, client):
@@ -136,14 +136,17 @@
         )
         assert (status, reply["name"]) == (404, "NOT_RUN_UNKNOWN_SERVICE")
 
-    def test_half_a_request_and_a_hang_up(self, client):
+    def test_incomplete_requests_then_disconnect(self, client):
         host, _, port = client.address.rpartition(":")
-        for data in (b"POST " + ASK.encode(), b"\x00\xff garbage\r\n\r\n"):
+        for data in (
+            b"POST " + REQUESTS_PATH.encode(),
+            b"\x00\xff garbage\r\n\r\n",
+        ):
             with socket.create_connection((host, int(port))) as sock:
                 sock.sendall(data)
         assert client.call("GET", "/healthz")[0] == 200
 
-    def test_huge_announcement_is_refused(self, client, app):
+    def test_oversized_announcement_is_rejected(self, client, app):
         server = {
             "name": "a",
             "incarnation": 1,
@@ -168,14 +171,13 @@
 
 
 class TestSpike:
-    """Waiting requests are bounded below the threads."""
+    """Fewer requests may wait than there are HTTP threads."""
 
-    def test_health_and_refusals_while_all_wait(self, client, app, tmp_path):
-        """An entry that looks dead in a spike.
+    def test_health_and_rejections_at_the_limit(self, client, app, tmp_path):
+        """Health checks and rejections are still served in a load spike.
 
-        Symptom: health checks time out, and callers get no refusal.
-        Sequence: requests that wait hold every thread of the server.
-        Cause: nothing bounds how many wait.
+        Without a bound, waiting requests occupy every thread of the server:
+        health checks time out and callers get no rejection.
         """
         silent = socket.create_server(("127.0.0.1", 0))
         address = f"127.0.0.1:{silent.getsockname()[1]}"
@@ -195,29 +197,30 @@
         assert client.call("POST", "/v1/announcements", announcement)[0] == 200
         codes = []
 
-        def ask(number: int) -> None:
+        def send_request(number: int) -> None:
             body = {**REQUEST, "deadline_s": 9.0, "body": number}
-            codes.append(client.call("POST", ASK, body)[1]["code"])
+            codes.append(client.call("POST", REQUESTS_PATH, body)[1]["code"])
 
         threads = [
-            threading.Thread(target=ask, args=(n,)) for n in range(10 * WAITING)
+            threading.Thread(target=send_request, args=(n,))
+            for n in range(10 * MAX_WAITING)
         ]
         for thread in threads:
             thread.start()
-        wait_for("refusals", lambda: codes.count(200) >= WAITING)
+        wait_for("refusals", lambda: codes.count(200) >= MAX_WAITING)
         assert client.call("GET", "/v1/addresses?service=s")[0] == 200
         assert client.call("GET", "/v1/status")[0] == 200
         silent.close()
         for thread in threads:
             thread.join()
-        assert len(codes) == 10 * WAITING
+        assert len(codes) == 10 * MAX_WAITING
         assert set(codes) <= {200, 201, 204, 205, 400}
 
 
 class TestTicks:
-    """A tick that raises ends no other request."""
+    """A tick that raises does not fail other requests."""
 
-    def test_message_that_no_decider_knows(self, client, app):
+    def test_message_of_unknown_type(self, client, app):
         app._loop.put(object())
         wait_for("a counted failure", lambda: app._loop.failures > 0)
         assert client.call("GET", "/v1/status")[0] == 200
@@ -226,22 +229,20 @@
 
 
 class TestHooks:
-    """What embedders may add."""
-
-    def test_listener_hears_answers(self, client, app):
-        heard = []
-        app.add_listener(events.ANSWERED, heard.append)
-        client.call("POST", ASK, {**REQUEST, "request_class": "none"})
-        wait_for("the listener", lambda: heard)
-        assert isinstance(heard[-1], Reply)
-
-    def test_listener_that_raises_takes_no_answer_along(self, client, app):
-        """Answers lost to a listener.
-
-        Symptom: callers time out after an embedder added a listener.
-        Sequence: the listener raises; the answers of other callers come out
-        of the same tick.
-        Cause: the first failure ends the handling of the tick.
+    """Listeners added by embedders."""
+
+    def test_listener_receives_answers(self, client, app):
+        received = []
+        app.add_listener(events.ANSWERED, received.append)
+        client.call("POST", REQUESTS_PATH, {**REQUEST, "request_class": "none"})
+        wait_for("the listener", lambda: received)
+        assert isinstance(received[-1], Reply)
+
+    def test_raising_listener_loses_no_answer(self, client, app):
+        """A listener that raises must not cost other callers their answers.
+
+        The answers to several callers may come out of one tick. If the first
+        exception ended the handling of that tick, the others would time out.
         """
 
         def fail(_):
@@ -251,18 +252,20 @@
         codes = []
         body = {**REQUEST, "request_class": "none"}
 
-        def ask() -> None:
-            codes.append(client.call("POST", ASK, body)[1]["code"])
+        def send_request() -> None:
+            codes.append(client.call("POST", REQUESTS_PATH, body)[1]["code"])
 
-        threads = [threading.Thread(target=ask) for _ in range(WAITING)]
+        threads = [
+            threading.Thread(target=send_request) for _ in range(MAX_WAITING)
+        ]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
-        assert codes == [206] * WAITING
+        assert codes == [206] * MAX_WAITING
 
     def test_series_for_caller_and_class(self, client):
-        client.call("POST", ASK, {**REQUEST, "deadline_s": 0.05})
+        client.call("POST", REQUESTS_PATH, {**REQUEST, "deadline_s": 0.05})
         rows = client.call("GET", "/v1/histograms")[1]["rows"]
         measures = {row["measure"] for row in rows if row["caller"] == "atlas"}
         assert measures == {"latency_us", "coverage_percent", "attempts"}
