--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -47,7 +47,7 @@
     Mutant(
         "own answer: echo",
         "query/outcomes.py",
-        "    if not _echoes(attempt, msg):",
+        "    if not _matches_attempt(attempt, msg):",
         "    if False:",
         (QUERY + "test_outcomes.py::TestCoverage",),
     ),
@@ -76,7 +76,7 @@
     Mutant(
         "given up at once",
         "query/endings.py",
-        "    elif not _pending(query) and not _has_holder(query):",
+        "    elif not _has_pending_attempt(query) and not _has_holder(query):",
         "    elif False:",
         (QUERY + "test_outcomes.py::TestGivenUp",),
     ),
@@ -84,7 +84,7 @@
         "drain acts at once",
         "query/outcomes.py",
         "    if msg.server_state is ServerState.DRAINING:\n"
-        "        servers.drain(state, attempt.searcher)\n"
+        "        servers.mark_draining(state, attempt.searcher)\n"
         "    if _is_current",
         "    if _is_current",
         (QUERY + "test_snapshots.py::TestLeaving",),
--- a/greengagemoor/query/__init__.py
+++ b/greengagemoor/query/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions on queries: snapshot, choice, limits, answers."""
+"""Query decisions without I/O: snapshots, placement, limits, answers."""
--- a/greengagemoor/query/admission.py
+++ b/greengagemoor/query/admission.py
@@ -1,4 +1,4 @@
-"""Whether a request may wait, and for how long it would."""
+"""Admission control: rejects requests that would miss their deadline."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     from greengagemoor.query.tables import ServiceRow
 
 
-WAIT_MARGIN = 1.5
-"""The wait is a mean: half of those admitted just at it would be late."""
+WAIT_SAFETY_FACTOR = 1.5
+"""Factor on the expected wait, a mean that about half of the waits exceed."""
 
-WORK_MARGIN = 2.0
-"""A query's own time is a mean too; the tail is about twice as long."""
+QUERY_TIME_SAFETY_FACTOR = 2.0
+"""Factor on the mean query time; the tail is about twice as long."""
 
 
 @attrs.frozen
 class Refusal:
-    """Why a request is refused at once, and when to come back."""
+    """Why a request is rejected at once, and after how long to retry."""
 
     code: Code
     retry_after_s: float
@@ -32,8 +32,8 @@
 def expected_wait(service: ServiceRow, caller: str, priority: int) -> float:
     """Returns the seconds a new query of this caller would wait.
 
-    By Little's law: ``running`` queries of ``query_time`` seconds each leave
-    at running / query_time a second.
+    By Little's law, ``running`` queries of ``query_time`` seconds each
+    complete at a rate of running / query_time per second.
     """
     if not service.running:
         return 0.0
@@ -44,19 +44,22 @@
 def check_admission(
     service: ServiceRow, cls: RequestClass, caller: str, remaining: float
 ) -> Refusal | None:
-    """Returns a refusal when waiting would pass the deadline.
+    """Returns a refusal if the wait is too long or the queue is full.
 
-    A queue without this rule fills with queries that will be late: all the
-    work goes to answers that nobody waits for any more. One would see full
-    searchers and almost no goodput.
+    Without the deadline check, the queue fills with queries that will be late:
+    searchers are fully loaded with answers that no caller waits for any more,
+    and goodput is close to zero.
     """
     if not service.running:
-        # The expected times are learnt from queries that run. With none
-        # running, a refusal would keep it so, for ever: after a slow time one
-        # would see a service that refuses everybody beside idle searchers.
+        # The expected times are measured on running queries. With none
+        # running, a rejection would leave the estimate unchanged: after a slow
+        # period the service would reject every request while searchers idle.
         return None
     wait = expected_wait(service, caller, cls.priority)
-    needed = WAIT_MARGIN * wait + WORK_MARGIN * service.query_time
+    needed = (
+        WAIT_SAFETY_FACTOR * wait
+        + QUERY_TIME_SAFETY_FACTOR * service.query_time
+    )
     if cls.refuse_late and needed > remaining:
         return Refusal(Code.NOT_RUN_DEADLINE, wait)
     if len(service.queue) >= cls.max_queue and not _can_displace(
@@ -67,7 +70,7 @@
 
 
 def _can_displace(service: ServiceRow, cls: RequestClass, caller: str) -> bool:
-    victim = service.queue.newest_of_longest(cls.priority)
+    victim = service.queue.displacement_candidate(cls.priority)
     return (
         victim is not None
         and cls.max_queue > 0
--- a/greengagemoor/query/answers.py
+++ b/greengagemoor/query/answers.py
@@ -1,4 +1,4 @@
-"""Builds true answers: the code follows from the whole history of a query."""
+"""Builds answers; the code depends on the whole history of a query."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 if TYPE_CHECKING:
     from greengagemoor.query.tables import Query
 
-LEAST_RETRY_AFTER_S = 0.05
-NO_HOLDER = "no_live_replica"
-NOT_PLACED = "no_room"
+MIN_RETRY_AFTER_S = 0.05
+NO_LIVE_REPLICA = "no_live_replica"
+NO_ROOM = "no_room"
 STILL_DUE = "still_due"
 
 
-def refusal(
+def build_rejection(
     request: Request, code: Code, retry_after_s: float, detail: str = ""
 ) -> Answer:
     """Returns the answer to a request that did not run at all."""
     return Answer(
         code=code,
         request_id=request.request_id,
-        retry_after_s=round(max(LEAST_RETRY_AFTER_S, retry_after_s), 3),
+        retry_after_s=round(max(MIN_RETRY_AFTER_S, retry_after_s), 3),
         detail=detail,
     )
 
 
 def build_answer(query: Query, request_id: str, retry_after_s: float) -> Answer:
-    """Returns the answer for what a query has gathered so far."""
+    """Returns the answer for the results that a query has gathered so far."""
     coverage = _coverage(query)
     code = _code(query)
     withheld = code not in (Code.WHOLE, Code.PARTIAL)
@@ -50,7 +50,7 @@
         retry_after_s=(
             None
             if code is Code.WHOLE
-            else round(max(LEAST_RETRY_AFTER_S, retry_after_s), 3)
+            else round(max(MIN_RETRY_AFTER_S, retry_after_s), 3)
         ),
     )
 
@@ -85,8 +85,8 @@
         return STILL_DUE
     snapshot = query.service.snapshots.get(query.snapshot)
     if snapshot is None or shard not in snapshot.holders:
-        return NO_HOLDER
-    return query.reasons.get(shard, NOT_PLACED)
+        return NO_LIVE_REPLICA
+    return query.reasons.get(shard, NO_ROOM)
 
 
 def _code(query: Query) -> Code:
--- a/greengagemoor/query/attempts.py
+++ b/greengagemoor/query/attempts.py
@@ -1,4 +1,4 @@
-"""Starts, ends and cancels attempts; keeps the in-flight counts true."""
+"""Starts, ends and cancels attempts; maintains the in-flight counts."""
 
 from __future__ import annotations
 
@@ -11,10 +11,17 @@
     from greengagemoor.query.state import State
     from greengagemoor.query.tables import Query, Searcher
 
-FIRST_HEDGE_DELAY_S = 0.05
-LEAST_LOOK_S = 0.01
+DEFAULT_HEDGE_DELAY_S = 0.05
+"""Hedge delay, in seconds, while there are too few latency samples."""
+
+MIN_HEDGE_RECHECK_S = 0.01
+"""Shortest time, in seconds, until a late attempt is checked again."""
+
 SLOW_FACTOR = 3.0
-CANCEL_GRACE_S = 0.5
+"""A searcher this many times slower than the median counts as slow."""
+
+EXPIRY_GRACE_S = 0.5
+"""Seconds after its deadline at which an unreported attempt times out."""
 
 
 def start(
@@ -24,7 +31,7 @@
     shards: list[int],
     kind: AttemptKind,
 ) -> None:
-    """Starts one attempt that carries all of ``shards``."""
+    """Starts one attempt that asks the searcher for all of ``shards``."""
     now = state.now
     attempt = Attempt(
         id=state.next_attempt_id(),
@@ -41,10 +48,10 @@
     _count_start(query, searcher, shards, now)
     state.count_attempt(kind, len(shards))
     state.tables.set_timer(
-        attempt.deadline + CANCEL_GRACE_S, TimerKind.ATTEMPT, attempt.id
+        attempt.deadline + EXPIRY_GRACE_S, TimerKind.ATTEMPT, attempt.id
     )
-    _watch(state, attempt)
-    state.out.append(_message(query, attempt))
+    _schedule_hedge(state, attempt)
+    state.out.append(_start_message(query, attempt))
 
 
 def _count_start(
@@ -59,7 +66,7 @@
     searcher.last_used = now
 
 
-def _message(query: Query, attempt: Attempt) -> StartAttempt:
+def _start_message(query: Query, attempt: Attempt) -> StartAttempt:
     searcher = attempt.searcher
     return StartAttempt(
         attempt_id=attempt.id,
@@ -78,60 +85,60 @@
     )
 
 
-def _watch(state: State, attempt: Attempt) -> None:
-    """Sets the time at which the attempt counts as late."""
+def _schedule_hedge(state: State, attempt: Attempt) -> None:
+    """Sets the timer for hedging an attempt; claimed queries are not hedged."""
     query = attempt.query
     if query.is_claimed:
         return
-    at = state.now + _patience(attempt)
+    at = state.now + _hedge_delay(attempt)
     if at < attempt.deadline:
         state.tables.set_timer(at, TimerKind.HEDGE, attempt.id)
 
 
-def _patience(attempt: Attempt) -> float:
-    """Returns how long an attempt may take before it counts as late.
+def _hedge_delay(attempt: Attempt) -> float:
+    """Returns after how many seconds an attempt counts as late.
 
-    A searcher that was slow gets an attempt now and then, to find out whether
-    it still is; that one is given little time.
+    A searcher that was slow gets an occasional attempt, which shows whether it
+    has recovered; such an attempt is hedged early, after the median latency.
     """
     window = attempt.query.service.latency
-    usual = window.quantile(attempt.query.cls.hedge_quantile)
-    if usual is None:
-        return FIRST_HEDGE_DELAY_S
+    late_after = window.quantile(attempt.query.cls.hedge_quantile)
+    if late_after is None:
+        return DEFAULT_HEDGE_DELAY_S
     median = window.quantile(0.5)
     was_slow = attempt.searcher.latency > SLOW_FACTOR * median
-    return median if was_slow else usual
+    return median if was_slow else late_after
 
 
-def watch_again(state: State, attempt: Attempt) -> None:
-    """Looks at a late attempt once more, a little later."""
-    pause = max(LEAST_LOOK_S, (state.now - attempt.started) / 8)
+def reschedule_hedge(state: State, attempt: Attempt) -> None:
+    """Sets the timer to check a late attempt again."""
+    pause = max(MIN_HEDGE_RECHECK_S, (state.now - attempt.started) / 8)
     at = state.now + pause
     if at < attempt.deadline:
         state.tables.set_timer(at, TimerKind.HEDGE, attempt.id)
 
 
 def end(state: State, attempt_id: int) -> Attempt | None:
-    """Takes an ended attempt out of the tables; None if it is unknown.
+    """Removes an ended attempt from the tables; returns None if it is unknown.
 
-    An answer for an attempt that is no longer in the table is late or
-    doubled: it must not touch the query that may now stand elsewhere.
+    An answer for an attempt that is no longer in the table is late or a
+    duplicate. It must not change the query, which may have moved on since.
     """
     attempt = state.tables.attempts.pop(attempt_id, None)
     if attempt is None:
         return None
     attempt.query.attempts.pop(attempt_id, None)
     attempt.searcher.in_flight -= 1
-    state.touch(attempt.query.service)
+    state.mark_dirty(attempt.query.service)
     return attempt
 
 
 def cancel(state: State, attempt: Attempt) -> None:
-    """Tells the searcher that the answer is not needed.
+    """Notifies the searcher that the answer is no longer needed.
 
-    The attempt keeps its place in the in-flight count until it ends: its
-    connection still has an answer due, and counting it free would let the
-    sum of connections pass the cap.
+    The attempt stays in the in-flight count until it ends: its connection
+    still has an answer outstanding, and counting it as free would let the
+    total number of connections exceed the cap.
     """
     if attempt.cancelled:
         return
@@ -147,6 +154,6 @@
 
 
 def cancel_all(state: State, query: Query) -> None:
-    """Cancels every attempt of a query that is done or restarts."""
+    """Cancels every attempt of a query that has finished or restarts."""
     for attempt in list(query.attempts.values()):
         cancel(state, attempt)
--- a/greengagemoor/query/choosing.py
+++ b/greengagemoor/query/choosing.py
@@ -1,4 +1,4 @@
-"""Ways to place missing shards on searchers, by name."""
+"""Algorithms that place missing shards on searchers, registered by name."""
 
 from __future__ import annotations
 
@@ -15,26 +15,35 @@
 
     from greengagemoor.query.tables import Searcher, ServiceRow, Snapshot
 
-FEW_HOLDERS = 4
+MAX_COMPARED_HOLDERS = 4
+"""Holders of a shard that are all compared; of more, two are sampled."""
+
 REMOTE_PENALTY_S = 0.002
+"""Seconds added to the cost of a searcher in another data centre."""
+
 COLD_FACTOR = 4.0
+"""Cost multiples added while a searcher starts; falls linearly to 0."""
+
 LOAD_HINT_WEIGHT = 0.1
-WORTH_WAITING = 3.0
-"""A searcher with room that costs this many times a full one is left idle.
+"""Share by which an announced load of 1 raises the cost."""
+
+MAX_COST_RATIO = 3.0
+"""A searcher with room is not used if it costs this many times the cheapest.
 
-Without it, the slow searcher is the one that always has room: one would see
-the worst latencies just when the good searchers are full.
+Without this bound, attempts go to a slow searcher, which always has room,
+whenever the fast searchers are full: latency is worst under load.
 """
 
 
 @attrs.frozen
 class Choice:
-    """What a chooser knows when it places shards.
+    """The input of a chooser.
 
     Attributes:
-        home: data centre of this entry.
+        now: seconds on the decider's clock.
+        home: data centre of this entry instance.
         avoid: for each shard, names of searchers already tried for it.
-        paused: until when a searcher that refused this query is left alone.
+        paused: until when a searcher that refused this query is not asked.
     """
 
     service: ServiceRow
@@ -47,15 +56,15 @@
 
     def has_room(self, searcher: Searcher) -> bool:
         """Whether the query may start an attempt on the searcher now."""
-        rested = self.paused.get(searcher.info.name, 0.0) <= self.now
-        return rested and limits.has_room(searcher, self.now)
+        pause_over = self.paused.get(searcher.info.name, 0.0) <= self.now
+        return pause_over and limits.has_room(searcher, self.now)
 
 
 @choosers.register("random")
 def choose_random(
     choice: Choice, shards: Iterable[int]
 ) -> dict[str, list[int]]:
-    """Places each shard on any holder; the naive baseline."""
+    """Places each shard on a random holder; a baseline for comparison."""
     plan: dict[str, list[int]] = {}
     for shard in shards:
         holders = choice.snapshot.holders.get(shard)
@@ -69,10 +78,10 @@
 def choose_least_cost(
     choice: Choice, shards: Iterable[int]
 ) -> dict[str, list[int]]:
-    """Places shards on few searchers of least expected cost with room.
+    """Places shards on few searchers with room and the least expected cost.
 
-    A searcher already in the plan is taken before a new one, because slots
-    and connections are spent for each searcher and not for each shard.
+    A searcher already in the plan is preferred to a new one, because an
+    attempt takes one slot and one connection for any number of shards.
     """
     plan: dict[str, list[int]] = {}
     costs: dict[str, float] = {}
@@ -104,7 +113,7 @@
     costs: dict[str, float],
 ) -> str | None:
     candidates = _candidates(choice, holders, choice.avoid.get(shard, ()))
-    if len(candidates) > FEW_HOLDERS:
+    if len(candidates) > MAX_COMPARED_HOLDERS:
         candidates = _sample(choice, candidates)
     for searcher in candidates:
         if searcher.info.name not in costs:
@@ -114,13 +123,13 @@
         return None
     best = min(with_room, key=lambda s: costs[s.info.name])
     least = min(costs[s.info.name] for s in candidates)
-    if costs[best.info.name] > WORTH_WAITING * least:
+    if costs[best.info.name] > MAX_COST_RATIO * least:
         return None
     return best.info.name
 
 
 def _sample(choice: Choice, candidates: list[Searcher]) -> list[Searcher]:
-    """Takes two at random, with room if there are such."""
+    """Samples two candidates, from those with room if there are two."""
     with_room = [s for s in candidates if choice.has_room(s)]
     return choice.rng.sample(with_room if len(with_room) > 1 else candidates, 2)
 
@@ -128,22 +137,21 @@
 def _candidates(
     choice: Choice, holders: dict[str, Searcher], avoid: Collection[str]
 ) -> list[Searcher]:
-    """Drops tried and ejected holders, but never all of them.
+    """Excludes tried and ejected holders unless that would exclude all.
 
-    Ejection without that floor turns a burst of failures of every replica
-    into a shard that is missing although searchers live: one would see
-    coverage fall with no searcher gone.
+    Otherwise a burst of failures that ejects every replica makes the shard
+    missing: coverage falls although no searcher is gone.
     """
-    fresh = [s for name, s in holders.items() if name not in avoid]
-    tried_or_fresh = fresh or list(holders.values())
-    healthy = [s for s in tried_or_fresh if s.ejected_until <= choice.now]
-    return healthy or tried_or_fresh
+    untried = [s for name, s in holders.items() if name not in avoid]
+    eligible = untried or list(holders.values())
+    healthy = [s for s in eligible if s.ejected_until <= choice.now]
+    return healthy or eligible
 
 
 def cost_of(searcher: Searcher, choice: Choice) -> float:
     """Returns the expected seconds of one more attempt on the searcher."""
-    base = _rested_latency(searcher, choice)
-    cost = base * (1 + searcher.in_flight / limits.most_in_flight(searcher))
+    base = _decayed_latency(searcher, choice)
+    cost = base * (1 + searcher.in_flight / limits.max_in_flight(searcher))
     if searcher.in_flight >= searcher.connections:
         cost += searcher.info.connect_cost_s
     if searcher.info.data_centre != choice.home:
@@ -155,15 +163,15 @@
     return cost * (1 + 0.02 * choice.rng.random())
 
 
-def _rested_latency(searcher: Searcher, choice: Choice) -> float:
-    """Lets a bad measure fade while the searcher is unused.
+def _decayed_latency(searcher: Searcher, choice: Choice) -> float:
+    """Returns the searcher's latency, decayed to the median while it is unused.
 
-    A searcher that was slow once gets no attempts and so no better sample;
-    one would see it idle for ever after it recovered.
+    A slow searcher gets no attempts and so no new sample; without the decay it
+    would stay unused after it recovered.
     """
-    usual = choice.service.latency.quantile(0.5)
-    if usual is None or searcher.latency <= usual:
+    median = choice.service.latency.quantile(0.5)
+    if median is None or searcher.latency <= median:
         return searcher.latency
     idle = max(0.0, choice.now - searcher.last_used)
-    faded = 0.5 ** (idle / limits.IDLE_HALF_LIFE_S)
-    return usual + (searcher.latency - usual) * faded
+    decay = 0.5 ** (idle / limits.IDLE_HALF_LIFE_S)
+    return median + (searcher.latency - median) * decay
--- a/greengagemoor/query/completion.py
+++ b/greengagemoor/query/completion.py
@@ -1,4 +1,4 @@
-"""When a query that still misses shards may be answered, by name."""
+"""Policies for when to answer a query with missing shards, by name."""
 
 from __future__ import annotations
 
@@ -10,18 +10,26 @@
     from greengagemoor.query.tables import Query
 
 TAIL_QUANTILE = 0.99
+"""Quantile of the attempt latencies that counts as the tail."""
+
 TAIL_MARGIN = 1.5
+"""Factor on the tail latency after which a query is cut."""
 
 
 @completions.register("wait_for_all")
 def wait_for_all(query: Query) -> float:
-    """Waits for every shard up to the deadline: coverage first."""
+    """Returns the deadline: coverage takes precedence over latency."""
     return query.deadline
 
 
 @completions.register("cut_at_tail")
 def cut_at_tail(query: Query) -> float:
-    """Cuts at the class's tail once its least coverage is met: tail first."""
+    """Returns the time to answer once the class's least coverage is met.
+
+    Tail latency takes precedence over coverage: the query is cut after the
+    class's ``cut_after_s``, or else at a multiple of the service's tail
+    latency.
+    """
     if query.coverage < query.cls.least_coverage:
         return query.deadline
     if query.cls.cut_after_s > 0:
--- a/greengagemoor/query/decider.py
+++ b/greengagemoor/query/decider.py
@@ -1,4 +1,4 @@
-"""The query decider: messages in, messages out, no sockets and no clock."""
+"""The query decider: turns messages into messages, without I/O or a clock."""
 
 from __future__ import annotations
 
@@ -24,17 +24,18 @@
 
 
 class QueryDecider:
-    """Decides which searcher is asked what, when, and what callers get.
+    """Decides which searchers are asked, when, and what callers are answered.
 
-    Systems run in a fixed order each tick: receive, expire, place. A tick
-    costs time in what changed: due timers and services marked dirty.
+    Each tick handles the messages, then the expired timers, then places
+    waiting queries. Its cost depends on the number of messages, expired timers
+    and services marked dirty.
     """
 
     def __init__(self, home: str, rng: random.Random):
-        """Starts without document and searchers.
+        """Creates a decider without a document or searchers.
 
         Args:
-            home: data centre of this entry.
+            home: data centre of this entry instance.
             rng: seeded source for all random choices.
         """
         self.state = State(home=home, rng=rng)
@@ -43,7 +44,7 @@
         """Runs one tick.
 
         Args:
-            now: seconds on any clock that never goes back.
+            now: seconds on a monotonic clock.
             msgs: messages of ``query.messages``, in order of arrival.
 
         Returns:
@@ -54,35 +55,35 @@
         state.out = []
         for msg in msgs:
             _HANDLERS[type(msg)](state, msg)
-        for kind, key in state.tables.due(state.now):
+        for kind, key in state.tables.pop_due(state.now):
             _TIMERS[kind](state, key)
         placing.place_waiting(state)
         return state.out
 
     def next_wake(self) -> float | None:
-        """Returns when a tick is due although no message came."""
+        """Returns when the next timer expires, None without timers."""
         timers = self.state.tables.timers
         return timers[0][0] if timers else None
 
     def close(self) -> None:
-        """Refuses new requests from now on; what runs goes on."""
+        """Rejects new requests from now on; accepted requests are completed."""
         self.state.closing = True
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request waits and no attempt is under way."""
+        """Whether no query waits and no attempt is in flight."""
         return not self.state.tables.queries and not self.state.tables.attempts
 
 
-def _set_control(state: State, msg: messages.ControlReady) -> None:
+def _set_control_ready(state: State, msg: messages.ControlReady) -> None:
     state.control_ready = msg.ready
 
 
-def _decide_claim(state: State, msg: messages.ClaimDecided) -> None:
+def _handle_claim_decided(state: State, msg: messages.ClaimDecided) -> None:
     query = state.tables.by_token.get(msg.token)
     if query is None or query.phase is not Phase.CLAIMING:
-        # The caller was told "not run" meanwhile. The ledger must hear it,
-        # or a resend would be told that the request is in progress.
+        # The caller was answered "not run" meanwhile. The ledger must record
+        # this, or a resend would be answered that the request is in progress.
         endings.release_claim(state, msg)
         return
     if msg.verdict is ClaimVerdict.GRANTED:
@@ -92,9 +93,9 @@
 
 
 def _expire_attempt(state: State, attempt_id: int) -> None:
-    """Ends an attempt whose end the shell never reported."""
+    """Times out an attempt whose end the shell has not reported."""
     if attempt_id in state.tables.attempts:
-        outcomes.take_failure(
+        outcomes.handle_failure(
             state, messages.AttemptFailed(attempt_id, Failure.TIMEOUT)
         )
 
@@ -105,7 +106,7 @@
         placing.hedge(state, attempt)
 
 
-def _cut(state: State, query_id: int) -> None:
+def _settle_at_cut(state: State, query_id: int) -> None:
     query = state.tables.queries.get(query_id)
     if query is not None:
         endings.settle(state, query)
@@ -114,24 +115,24 @@
 def _dispatch(state: State, name: str) -> None:
     service = state.tables.services.get(name)
     if service is not None:
-        state.touch(service)
+        state.mark_dirty(service)
 
 
 _HANDLERS: dict[type, Callable[[State, object], None]] = {
-    messages.Request: requests.take,
-    messages.CallerGone: lambda s, m: endings.forget_waiter(s, m.token),
-    messages.AttemptAnswer: outcomes.take_answer,
-    messages.AttemptFailed: outcomes.take_failure,
-    messages.ServerChanged: servers.change,
-    messages.ServerGone: servers.leave,
-    messages.DocumentChanged: servers.change_document,
-    messages.ClaimDecided: _decide_claim,
-    messages.ControlReady: _set_control,
+    messages.Request: requests.handle_request,
+    messages.CallerGone: lambda s, m: endings.remove_waiter(s, m.token),
+    messages.AttemptAnswer: outcomes.handle_answer,
+    messages.AttemptFailed: outcomes.handle_failure,
+    messages.ServerChanged: servers.handle_server_changed,
+    messages.ServerGone: servers.handle_server_gone,
+    messages.DocumentChanged: servers.handle_document_changed,
+    messages.ClaimDecided: _handle_claim_decided,
+    messages.ControlReady: _set_control_ready,
 }
 
 _TIMERS: dict[TimerKind, Callable[[State, object], None]] = {
-    TimerKind.WAITER: endings.end_waiter,
-    TimerKind.CUT: _cut,
+    TimerKind.WAITER: endings.expire_waiter,
+    TimerKind.CUT: _settle_at_cut,
     TimerKind.HEDGE: _hedge,
     TimerKind.ATTEMPT: _expire_attempt,
     TimerKind.DISPATCH: _dispatch,
--- a/greengagemoor/query/endings.py
+++ b/greengagemoor/query/endings.py
@@ -1,4 +1,4 @@
-"""Ends queries: whole, cut, given up or dropped; answers every waiter."""
+"""Finishes, restarts or rejects queries, and answers their waiters."""
 
 from __future__ import annotations
 
@@ -23,9 +23,16 @@
     from greengagemoor.query.state import State
 
 QUERY_TIME_WEIGHT = 0.1
-FASTER_WEIGHT = 0.2
-MOST_RESTARTS = 1
+"""Weight of a new sample in the moving average of the query time."""
+
+FASTER_QUERY_WEIGHT = 0.2
+"""Weight of a sample that is below the average."""
+
+MAX_RESTARTS = 1
+"""Most restarts of a query on a newer snapshot."""
+
 NO_CONTROL_RETRY_S = 1.0
+"""Retry-after, in seconds, where no wait can be estimated."""
 
 _CLAIM_CODES = {
     ClaimVerdict.IN_PROGRESS: Code.IN_PROGRESS,
@@ -38,12 +45,13 @@
 def end_unclaimed(state: State, query: Query, msg: ClaimDecided) -> None:
     """Answers a request whose claim was not granted.
 
-    The recorded outcome goes to a resend whole, under its own request id.
+    A resend of a completed request gets the recorded answer unchanged, with
+    the request id of the recorded request.
     """
     if msg.verdict is ClaimVerdict.DONE:
         answer = shape.parse_json(msg.outcome, Answer)
     else:
-        answer = answers.refusal(
+        answer = answers.build_rejection(
             query.request, _CLAIM_CODES[msg.verdict], NO_CONTROL_RETRY_S
         )
     for waiter in list(query.waiters.values()):
@@ -51,9 +59,9 @@
     _close(state, query)
 
 
-def refuse_hopeless(state: State, query: Query) -> bool:
-    """Refuses a queued query that can't be answered in time any more."""
-    needed = admission.WORK_MARGIN * query.service.query_time
+def reject_if_late(state: State, query: Query) -> bool:
+    """Rejects a queued query that is too late or has no waiter left."""
+    needed = admission.QUERY_TIME_SAFETY_FACTOR * query.service.query_time
     late = (
         query.cls.refuse_late
         and query.service.running > 0
@@ -61,23 +69,25 @@
     )
     if not late and query.waiters:
         return False
-    drop(state, query, Code.NOT_RUN_DEADLINE)
+    reject_queued(state, query, Code.NOT_RUN_DEADLINE)
     return True
 
 
-def drop(state: State, query: Query, code: Code) -> None:
-    """Answers every waiter of a query that never started."""
+def reject_queued(state: State, query: Query, code: Code) -> None:
+    """Rejects a query that has not started; answers every waiter ``code``."""
     wait = admission.expected_wait(
         query.service, query.request.caller, query.cls.priority
     )
     for waiter in list(query.waiters.values()):
         request = _request_of(query, waiter)
-        answer = answers.refusal(request, code, wait)
+        answer = answers.build_rejection(request, code, wait)
         state.counters.refused += 1
         _reply(state, query, waiter, answer)
     _close(state, query)
     if query.is_claimed:
-        _record(state, query, answers.refusal(query.request, code, wait))
+        _emit_outcome(
+            state, query, answers.build_rejection(query.request, code, wait)
+        )
 
 
 def _request_of(query: Query, waiter: Waiter) -> Request:
@@ -91,19 +101,19 @@
 
 
 def settle(state: State, query: Query) -> None:
-    """Ends a query that is whole, cut, or has nothing left to hope for."""
+    """Finishes a query that is complete, cut, or can't get further results."""
     if query.phase is not Phase.RUNNING:
         return
     if len(query.reflected) == len(query.needed):
         finish(state, query)
-    elif not _pending(query) and not _has_holder(query):
+    elif not _has_pending_attempt(query) and not _has_holder(query):
         if not _restart(state, query):
             finish(state, query)
     elif query.reflected:
-        _cut_when_due(state, query)
+        _finish_at_cut(state, query)
 
 
-def _pending(query: Query) -> bool:
+def _has_pending_attempt(query: Query) -> bool:
     return any(not a.cancelled for a in query.attempts.values())
 
 
@@ -114,7 +124,7 @@
     )
 
 
-def _cut_when_due(state: State, query: Query) -> None:
+def _finish_at_cut(state: State, query: Query) -> None:
     cut = completions.get(query.cls.completion)(query)
     if state.now >= cut:
         finish(state, query)
@@ -123,21 +133,22 @@
 
 
 def _restart(state: State, query: Query) -> bool:
-    """Starts the whole query again on a newer snapshot, if there is one.
+    """Restarts a query on a newer snapshot that has more coverage, if any.
 
-    Nothing gathered on the old snapshot is kept: an answer never mixes two.
+    Results of the old snapshot are discarded: an answer never mixes two
+    snapshots.
     """
-    if query.is_claimed or query.restarts >= MOST_RESTARTS:
+    if query.is_claimed or query.restarts >= MAX_RESTARTS:
         return False
     newer = pick_snapshot(
         query.service, query.cls.least_coverage, query.snapshot + 1
     )
-    time_left = query.deadline - state.now > query.service.query_time
+    has_time = query.deadline - state.now > query.service.query_time
     if (
         newer is None
         or newer.version <= query.snapshot
         or newer.coverage <= query.coverage
-        or not time_left
+        or not has_time
     ):
         return False
     attempts.cancel_all(state, query)
@@ -150,12 +161,12 @@
     query.tried.clear()
     query.unplaced = set(query.needed)
     query.service.unplaced[query.id] = query
-    state.touch(query.service)
+    state.mark_dirty(query.service)
     return True
 
 
 def finish(state: State, query: Query) -> None:
-    """Gives every waiter the answer as it stands, and cancels the rest."""
+    """Answers every waiter with the results so far and cancels what remains."""
     if query.phase is Phase.DONE:
         return
     retry_after = query.service.query_time
@@ -163,10 +174,10 @@
         answer = answers.build_answer(query, waiter.request_id, retry_after)
         _reply(state, query, waiter, answer)
     if query.is_claimed and not query.attempts:
-        _record(state, query, _final_answer(query))
+        _emit_outcome(state, query, _final_answer(query))
     elif not query.is_claimed:
         attempts.cancel_all(state, query)
-    _note_time(state, query)
+    _record_query_time(state, query)
     _close(state, query)
 
 
@@ -175,16 +186,16 @@
     return answers.build_answer(query, request_id, query.service.query_time)
 
 
-def _note_time(state: State, query: Query) -> None:
+def _record_query_time(state: State, query: Query) -> None:
     if query.phase is Phase.RUNNING and query.reflected:
         taken = state.now - query.began
         service = query.service
         faster = taken < service.query_time
-        weight = FASTER_WEIGHT if faster else QUERY_TIME_WEIGHT
+        weight = FASTER_QUERY_WEIGHT if faster else QUERY_TIME_WEIGHT
         service.query_time += weight * (taken - service.query_time)
 
 
-def _record(state: State, query: Query, answer: Answer) -> None:
+def _emit_outcome(state: State, query: Query, answer: Answer) -> None:
     state.out.append(
         OutcomeKnown(
             token=query.request.token,
@@ -197,7 +208,7 @@
 
 
 def release_claim(state: State, msg: ClaimDecided) -> None:
-    """Records "not run" for a claim that nobody waits for any more."""
+    """Records "not run" for a granted claim whose query has ended."""
     if msg.verdict is not ClaimVerdict.GRANTED:
         return
     code = Code.NOT_RUN_NO_CONTROL
@@ -213,9 +224,9 @@
     )
 
 
-def record_late(state: State, query: Query) -> None:
-    """Records the outcome of a claimed query that ended after its answer."""
-    _record(state, query, _final_answer(query))
+def record_late_outcome(state: State, query: Query) -> None:
+    """Records the outcome of a claimed query that was already answered."""
+    _emit_outcome(state, query, _final_answer(query))
 
 
 def _reply(state: State, query: Query, waiter: Waiter, answer: Answer) -> None:
@@ -242,11 +253,11 @@
     if query.flight_key and service.flights.get(query.flight_key) is query:
         del service.flights[query.flight_key]
     state.tables.queries.pop(query.id, None)
-    state.touch(service)
+    state.mark_dirty(service)
 
 
-def end_waiter(state: State, token: int) -> None:
-    """Answers one waiter at its deadline with what there is."""
+def expire_waiter(state: State, token: int) -> None:
+    """Answers a waiter at its deadline with the results so far."""
     query = state.tables.by_token.get(token)
     if query is None:
         return
@@ -260,10 +271,10 @@
     _reply(state, query, waiter, answer)
 
 
-def forget_waiter(state: State, token: int) -> None:
-    """Drops a waiter whose connection closed; ends a flight without any.
+def remove_waiter(state: State, token: int) -> None:
+    """Removes a waiter whose connection closed; ends a query without waiters.
 
-    A claimed request goes on: its outcome must be recorded for the resend.
+    A claimed query continues: its outcome must be recorded for a resend.
     """
     query = state.tables.by_token.pop(token, None)
     if query is None:
--- a/greengagemoor/query/fairqueue.py
+++ b/greengagemoor/query/fairqueue.py
@@ -1,4 +1,4 @@
-"""A bounded queue: by class priority, then in turn over callers."""
+"""A queue ordered by class priority, then round-robin over callers."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 
 
 class FairQueue:
-    """Waiting queries; callers of one priority take turns.
+    """Waiting queries; a round-robin over the callers of each priority.
 
-    One caller's spike in a plain queue puts every other caller behind it: one
-    would see all callers' waits rise with one caller's rate. Turns over
-    callers keep the wait of a caller near its own number of queries.
+    In a FIFO queue, a spike of one caller delays every other caller. With the
+    round-robin, a caller's wait depends mostly on its own number of queries.
+
+    A lane holds the queues of the callers of one priority.
     """
 
     def __init__(self):
@@ -31,7 +32,7 @@
         self._size += 1
 
     def pop(self) -> Query | None:
-        """Takes the next query: highest priority, caller whose turn it is."""
+        """Removes and returns the next query, None if the queue is empty."""
         for priority in sorted(self._lanes, reverse=True):
             lane = self._lanes[priority]
             if not lane:
@@ -46,7 +47,7 @@
         return None
 
     def remove(self, query: Query) -> None:
-        """Takes a query out wherever it stands."""
+        """Removes a query from any position, if it is queued."""
         lane = self._lanes.get(query.cls.priority, {})
         waiting = lane.get(query.request.caller)
         if waiting is None or query not in waiting:
@@ -57,7 +58,7 @@
             del lane[query.request.caller]
 
     def ahead_of(self, caller: str, priority: int) -> int:
-        """Returns how many queries run before a new one of this caller."""
+        """Returns how many queries would start before a new one of a caller."""
         higher = sum(
             len(waiting)
             for level, lane in self._lanes.items()
@@ -70,11 +71,11 @@
             min(len(waiting), own + 1) for waiting in lane.values()
         )
 
-    def newest_of_longest(self, priority: int) -> Query | None:
-        """Returns the last query of the caller with most waiting.
+    def displacement_candidate(self, priority: int) -> Query | None:
+        """Returns the query to displace from a full queue.
 
-        Only lanes at or below ``priority`` count, the lowest first; None if
-        nothing waits there.
+        That is the newest query of the caller with the most queries, in the
+        lowest lane in use at or below ``priority``; None if there is none.
         """
         lanes = [
             (level, waiting)
--- a/greengagemoor/query/latency.py
+++ b/greengagemoor/query/latency.py
@@ -1,4 +1,4 @@
-"""Recent latencies with cheap quantiles; all in seconds."""
+"""A sliding window of latencies, in seconds, with quantiles."""
 
 from __future__ import annotations
 
@@ -6,12 +6,15 @@
 
 from sortedcontainers import SortedList
 
-WINDOW = 256
-FEWEST_SAMPLES = 8
+MAX_SAMPLES = 256
+"""Samples kept."""
+
+MIN_SAMPLES = 8
+"""Samples needed for a quantile."""
 
 
 class LatencyWindow:
-    """The last ``WINDOW`` samples, kept sorted for quantiles."""
+    """The last ``MAX_SAMPLES`` samples, in order of arrival and sorted."""
 
     __slots__ = ("_order", "_sorted")
 
@@ -23,15 +26,15 @@
         return len(self._order)
 
     def add(self, sample: float) -> None:
-        """Adds a sample and forgets the oldest beyond the window."""
+        """Adds a sample and removes the oldest beyond ``MAX_SAMPLES``."""
         self._order.append(sample)
         self._sorted.add(sample)
-        if len(self._order) > WINDOW:
+        if len(self._order) > MAX_SAMPLES:
             self._sorted.remove(self._order.popleft())
 
     def quantile(self, share: float) -> float | None:
-        """Returns the sample at ``share`` (0 to 1), None with too few."""
+        """Returns the sample at ``share`` (0 to 1), None if there are too few."""
         count = len(self._sorted)
-        if count < FEWEST_SAMPLES:
+        if count < MIN_SAMPLES:
             return None
         return self._sorted[min(count - 1, int(share * count))]
--- a/greengagemoor/query/messages.py
+++ b/greengagemoor/query/messages.py
@@ -1,4 +1,4 @@
-"""Messages into and out of the query decider; times are seconds."""
+"""Messages to and from the query decider; times are in seconds."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Failure(enum.Enum):
-    """How an attempt ended without an answer that can be used."""
+    """Why an attempt ended without a usable answer."""
 
     NOT_SENT = "not_sent"
     SHED = "shed"
@@ -42,15 +42,15 @@
 
 @attrs.frozen
 class Request:
-    """A caller's request, as the shell read it.
+    """A caller's request, as parsed by the shell.
 
     Attributes:
-        token: names the waiting connection; unique in this process.
-        deadline: absolute, on the decider's clock.
-        key: targets one shard; None asks every shard.
-        body: JSON text that the searchers get unread.
+        token: identifies the waiting connection; unique in this process.
+        deadline_s: seconds from receipt; None takes the class's default.
+        key: selects one shard; None asks every shard.
+        body: JSON text that is passed to the searchers unparsed.
         least_snapshot: oldest index version that the caller accepts, so that
-            it does not go back behind what it saw at any entry.
+            it does not see an older one than it saw at any entry instance.
     """
 
     token: int
@@ -67,14 +67,14 @@
 
 @attrs.frozen
 class CallerGone:
-    """The connection behind ``token`` closed; nobody reads the answer."""
+    """The caller's connection of ``token`` closed before its answer."""
 
     token: int
 
 
 @attrs.frozen
 class ShardResult:
-    """What one shard answered, as JSON text."""
+    """The result of one shard, as JSON text."""
 
     shard: int
     value: str
@@ -82,7 +82,7 @@
 
 @attrs.frozen
 class AttemptAnswer:
-    """A searcher's answer; it echoes what it answers."""
+    """A searcher's answer, with the request id and snapshot it belongs to."""
 
     attempt_id: int
     request_id: str
@@ -103,10 +103,10 @@
 
 @attrs.frozen
 class ServerChanged:
-    """A searcher is new or changed.
+    """A searcher was added or changed.
 
     Attributes:
-        share: connections this entry may hold to it.
+        share: connections this entry instance may hold to it.
     """
 
     server: BackendServer
@@ -115,7 +115,7 @@
 
 @attrs.frozen
 class ServerGone:
-    """A searcher has left or fallen silent."""
+    """A searcher left or stopped announcing itself."""
 
     name: str
     service: str
@@ -123,11 +123,7 @@
 
 @attrs.frozen
 class DocumentChanged:
-    """A newer accepted document is in force here.
-
-    Attributes:
-        confirmed: False while its freshness can't be confirmed.
-    """
+    """A newer accepted document takes effect on this instance."""
 
     version: int
     document: Document
@@ -135,7 +131,7 @@
 
 @attrs.frozen
 class DrainSeen:
-    """A searcher said in an answer that it drains; spread the word."""
+    """A searcher reported in an answer that it drains; to be announced."""
 
     service: str
     name: str
@@ -144,14 +140,14 @@
 
 @attrs.frozen
 class ControlReady:
-    """Whether the control group confirmed itself a short time ago."""
+    """Whether the control group was recently confirmed to be reachable."""
 
     ready: bool
 
 
 @attrs.frozen
 class ClaimWanted:
-    """Asks the ledger for the right to send a request once."""
+    """Asks the ledger for a claim: the right to send a request once."""
 
     token: int
     caller: str
@@ -163,7 +159,7 @@
     """The ledger's answer to ``ClaimWanted``.
 
     Attributes:
-        send_before: absolute time after which a granted claim must not send.
+        send_before: absolute time after which the request must not be sent.
         outcome: recorded answer, as JSON text, when the verdict is DONE.
     """
 
@@ -180,7 +176,7 @@
     """The outcome of a claimed request, to be recorded in the ledger.
 
     Attributes:
-        token: of the ``ClaimWanted`` that was granted.
+        token: token of the ``ClaimWanted`` that was granted.
     """
 
     token: int
@@ -192,11 +188,11 @@
 
 @attrs.frozen
 class StartAttempt:
-    """Send an attempt to a searcher.
+    """Sends an attempt to a searcher.
 
     Attributes:
-        deadline: absolute; the shell ends the attempt then.
-        send_before: absolute; the shell must not send after it.
+        deadline: absolute time at which the shell ends the attempt.
+        send_before: absolute time after which the shell must not send it.
     """
 
     attempt_id: int
@@ -225,7 +221,7 @@
 
 @attrs.frozen
 class MissingShard:
-    """A shard that an answer does not reflect, and why."""
+    """A shard without a result in an answer, and the reason."""
 
     shard: int
     reason: str
@@ -233,7 +229,7 @@
 
 @attrs.frozen
 class Coverage:
-    """Which shards of the snapshot an answer reflects."""
+    """The shards of the snapshot with and without a result in an answer."""
 
     shards: int
     reflected: tuple[int, ...]
@@ -242,7 +238,7 @@
 
 @attrs.frozen
 class Answer:
-    """The whole final answer to one request."""
+    """The final answer to one request."""
 
     code: Code
     request_id: str
@@ -256,7 +252,7 @@
 
 @attrs.frozen
 class Reply:
-    """Give ``answer`` to the connection behind ``token``."""
+    """Sends ``answer`` to the caller's connection of ``token``."""
 
     token: int
     caller: str
--- a/greengagemoor/query/outcomes.py
+++ b/greengagemoor/query/outcomes.py
@@ -1,4 +1,4 @@
-"""What follows from an attempt's answer or failure."""
+"""Handles the answers and failures of attempts."""
 
 from __future__ import annotations
 
@@ -16,34 +16,36 @@
     from greengagemoor.query.state import State
     from greengagemoor.query.tables import Attempt, Query
 
-FLOOR_QUANTILE = 0.2
+IDLE_LATENCY_QUANTILE = 0.2
+"""Quantile of the latencies that stands for an idle searcher's."""
+
 ABSENT = "absent"
 
 
-def take_answer(state: State, msg: AttemptAnswer) -> None:
-    """Takes in a searcher's answer, after checking that it echoes its attempt.
+def handle_answer(state: State, msg: AttemptAnswer) -> None:
+    """Handles a searcher's answer, after checking that it fits its attempt.
 
-    A connection that is used again with an old answer still due gives the old
-    answer to the new attempt: a caller would read another request's results.
-    The echo of request, snapshot and shards shows it.
+    A connection that is reused while an old answer is outstanding delivers the
+    old answer to the new attempt, and a caller would get the results of another
+    request. Request id, snapshot and shards of the answer are checked for this.
     """
     attempt = state.tables.attempts.get(msg.attempt_id)
     if attempt is None:
         state.counters.late_answers += 1
         return
-    if not _echoes(attempt, msg):
+    if not _matches_attempt(attempt, msg):
         state.counters.mismatches += 1
-        take_failure(state, AttemptFailed(msg.attempt_id, Failure.MISMATCH))
+        handle_failure(state, AttemptFailed(msg.attempt_id, Failure.MISMATCH))
         return
     attempts.end(state, attempt.id)
-    _learn(state, attempt)
+    _record_latency(state, attempt)
     if msg.server_state is ServerState.DRAINING:
-        servers.drain(state, attempt.searcher)
+        servers.mark_draining(state, attempt.searcher)
     if _is_current(state, attempt):
-        _reflect(state, attempt, msg)
+        _add_results(state, attempt, msg)
 
 
-def _echoes(attempt: Attempt, msg: AttemptAnswer) -> bool:
+def _matches_attempt(attempt: Attempt, msg: AttemptAnswer) -> bool:
     answered = [result.shard for result in msg.results]
     return (
         msg.request_id == attempt.query.request.request_id
@@ -53,16 +55,16 @@
     )
 
 
-def _learn(state: State, attempt: Attempt) -> None:
+def _record_latency(state: State, attempt: Attempt) -> None:
     latency = state.now - attempt.started
     window = attempt.query.service.latency
     window.add(latency)
-    floor = window.quantile(FLOOR_QUANTILE) or latency
-    limits.note_answer(attempt.searcher, latency, floor)
+    idle_latency = window.quantile(IDLE_LATENCY_QUANTILE) or latency
+    limits.record_answer(attempt.searcher, latency, idle_latency)
 
 
 def _is_current(state: State, attempt: Attempt) -> bool:
-    """Tells whether the attempt's results may still enter its query."""
+    """Returns whether the attempt's results may still be added to its query."""
     query = attempt.query
     if attempt.snapshot != query.snapshot:
         state.counters.late_answers += 1
@@ -73,9 +75,9 @@
     return True
 
 
-def _reflect(state: State, attempt: Attempt, msg: AttemptAnswer) -> None:
+def _add_results(state: State, attempt: Attempt, msg: AttemptAnswer) -> None:
     query = attempt.query
-    # Whatever the answer holds, the searcher took the attempt in.
+    # Even an answer without results shows that the attempt may have run.
     query.may_have_run = True
     for result in msg.results:
         query.reflected.setdefault(result.shard, result.value)
@@ -83,29 +85,29 @@
         _end_claimed(state, query)
         return
     answered = {result.shard for result in msg.results}
-    lacking = [shard for shard in attempt.shards if shard not in answered]
-    if lacking:
-        _retry(state, attempt, lacking, ABSENT, free=False)
-    _cancel_needless(state, query)
+    missing = [shard for shard in attempt.shards if shard not in answered]
+    if missing:
+        _retry(state, attempt, missing, ABSENT, free=False)
+    _cancel_redundant(state, query)
     endings.settle(state, query)
 
 
-def _cancel_needless(state: State, query: Query) -> None:
+def _cancel_redundant(state: State, query: Query) -> None:
     for attempt in list(query.attempts.values()):
         if all(shard in query.reflected for shard in attempt.shards):
-            limits.note_overdue(attempt.searcher, state.now - attempt.started)
+            limits.record_overdue(attempt.searcher, state.now - attempt.started)
             attempts.cancel(state, attempt)
 
 
-def take_failure(state: State, msg: AttemptFailed) -> None:
-    """Takes in a failed attempt: what it proves, and what to do next."""
+def handle_failure(state: State, msg: AttemptFailed) -> None:
+    """Handles a failed attempt: updates its searcher, retries its shards."""
     attempt = attempts.end(state, msg.attempt_id)
     if attempt is None:
         state.counters.late_answers += 1
         return
-    _blame(state, attempt, msg)
+    _update_searcher(state, attempt, msg)
     query = attempt.query
-    _note_history(query, msg.failure)
+    _record_history(query, msg.failure)
     if query.is_claimed:
         _end_claimed(state, query)
         return
@@ -123,32 +125,34 @@
     endings.settle(state, query)
 
 
-def _note_history(query: Query, failure: Failure) -> None:
-    """Keeps what the whole history proves; a later refusal can't undo it."""
+def _record_history(query: Query, failure: Failure) -> None:
+    """Records that an attempt ran or may have run; refusals don't reset it."""
     if failure is Failure.ERROR:
         query.ran_and_failed = True
     elif not failure.is_not_run:
         query.may_have_run = True
 
 
-def _blame(state: State, attempt: Attempt, msg: AttemptFailed) -> None:
+def _update_searcher(
+    state: State, attempt: Attempt, msg: AttemptFailed
+) -> None:
     searcher = attempt.searcher
     failure = msg.failure
     if msg.server_state is ServerState.DRAINING or (
         failure is Failure.DRAINING
     ):
-        servers.drain(state, searcher)
+        servers.mark_draining(state, searcher)
     elif failure is Failure.SHED:
-        limits.note_shed(searcher, state.now)
+        limits.record_shed(searcher, state.now)
         wait = min(msg.retry_after_s, limits.BACKOFF_MAX_S)
         attempt.query.paused[searcher.info.name] = state.now + wait
     elif failure is Failure.VERSION_GONE:
-        servers.drop_version(state, searcher, attempt.snapshot)
+        servers.remove_version(state, searcher, attempt.snapshot)
     elif failure is Failure.TIMEOUT:
-        limits.note_overdue(searcher, state.now - attempt.started)
-        limits.note_failure(searcher, state.now)
+        limits.record_overdue(searcher, state.now - attempt.started)
+        limits.record_failure(searcher, state.now)
     elif failure is not Failure.CANCELLED:
-        limits.note_failure(searcher, state.now)
+        limits.record_failure(searcher, state.now)
 
 
 def _retry(
@@ -159,10 +163,10 @@
     *,
     free: bool,
 ) -> None:
-    """Puts shards back to be placed again, within the class's rules.
+    """Marks shards as unplaced again, within the limits of the class.
 
-    A refusal is free: the searcher did no work, and its pause holds the next
-    try back. Anything else may have cost work and takes a budget token.
+    A refusal is free: the searcher did no work, and its pause delays the next
+    attempt. Any other failure may have cost work and takes budget tokens.
     """
     query = attempt.query
     due = {
@@ -175,23 +179,25 @@
     query.reasons.update(dict.fromkeys(wanted, reason))
     if free:
         query.refusals.update(wanted)
-    able = [s for s in wanted if _tries_left(query, s)]
-    if not able or not (free or _may_retry(query, len(able))):
+    retryable = [s for s in wanted if _tries_left(query, s)]
+    if not retryable or not (
+        free or _spend_retry_budget(query, len(retryable))
+    ):
         return
-    query.unplaced.update(able)
+    query.unplaced.update(retryable)
     query.service.unplaced[query.id] = query
-    state.touch(query.service)
+    state.mark_dirty(query.service)
 
 
 def _tries_left(query: Query, shard: int) -> bool:
-    """Whether a shard may be asked once more; refusals count for little."""
+    """Whether a shard may be asked again; refusals have their own limit."""
     refusals = query.refusals[shard]
-    worked = query.tries[shard] - refusals
-    most = query.cls.max_attempts
-    return worked < most and refusals <= query.cls.max_refusals
+    charged = query.tries[shard] - refusals
+    limit = query.cls.max_attempts
+    return charged < limit and refusals <= query.cls.max_refusals
 
 
-def _may_retry(query: Query, shards: int) -> bool:
+def _spend_retry_budget(query: Query, shards: int) -> bool:
     service = query.service
     return not service.is_overloaded and (
         service.retry_budget(query.cls).spend(shards)
@@ -199,8 +205,8 @@
 
 
 def _end_claimed(state: State, query: Query) -> None:
-    """Ends a claimed query with its only attempt, and records the outcome."""
+    """Finishes a claimed query after its only attempt; records the outcome."""
     if query.phase is Phase.DONE:
-        endings.record_late(state, query)
+        endings.record_late_outcome(state, query)
     else:
         endings.finish(state, query)
--- a/greengagemoor/query/placing.py
+++ b/greengagemoor/query/placing.py
@@ -1,4 +1,4 @@
-"""Places waiting queries on searchers with room, and hedges late attempts."""
+"""Places waiting queries on searchers with room; hedges late attempts."""
 
 from __future__ import annotations
 
@@ -19,12 +19,15 @@
     from greengagemoor.query.state import State
     from greengagemoor.query.tables import Attempt, Query, ServiceRow
 
-MOST_PARTLY_PLACED = 4
-EARLY_WAKE_S = 0.001
+MAX_PARTLY_PLACED = 4
+"""Partly placed queries of a service at which no further query starts."""
+
+PAUSE_WAKE_DELAY_S = 0.001
+"""Seconds from the end of a pause until shards are placed again."""
 
 
 def place_waiting(state: State) -> None:
-    """Places what it can of every service in which something changed."""
+    """Places waiting queries of every service that is marked dirty."""
     while state.tables.dirty:
         _, service = state.tables.dirty.popitem()
         _place_started(state, service)
@@ -39,19 +42,19 @@
 def _start_queued(state: State, service: ServiceRow) -> None:
     """Starts queued queries while the searchers have room.
 
-    Queries partly placed hold slots while they wait for others, so few may be
-    in that state: without the bound, many queries each hold some searchers and
-    none can finish. Queries that rest after a refusal do not count: they wait
-    for a time and not for room, and a storm of refusals would else stop all.
+    A partly placed query holds slots while it waits for others, so their
+    number is bounded: otherwise many queries each hold some searchers and none
+    can finish. Queries that pause after a refusal do not count: they wait for
+    a time and not for room, and many refusals would otherwise block the queue.
     """
     partly_placed = sum(
-        not query.is_resting(state.now) for query in service.unplaced.values()
+        not query.is_paused(state.now) for query in service.unplaced.values()
     )
-    while len(service.queue) and partly_placed < MOST_PARTLY_PLACED:
+    while len(service.queue) and partly_placed < MAX_PARTLY_PLACED:
         if not _any_room(service, state.now):
             break
         query = service.queue.pop()
-        _start(state, query)
+        _start_query(state, query)
         partly_placed += query.id in service.unplaced
 
 
@@ -59,8 +62,8 @@
     return any(limits.has_room(s, now) for s in service.searchers.values())
 
 
-def _start(state: State, query: Query) -> None:
-    if endings.refuse_hopeless(state, query):
+def _start_query(state: State, query: Query) -> None:
+    if endings.reject_if_late(state, query):
         return
     query.phase = Phase.RUNNING
     query.began = state.now
@@ -91,7 +94,7 @@
     for name, shards in plan.items():
         _start_planned(state, query, name, shards)
     if query.unplaced:
-        _wake_when_rested(state, query)
+        _schedule_after_pause(state, query)
     else:
         query.service.unplaced.pop(query.id, None)
 
@@ -115,17 +118,17 @@
     state: State, query: Query, name: str, shards: list[int]
 ) -> None:
     searcher = query.service.searchers[name]
-    again = query.restarts or any(query.tries[shard] for shard in shards)
-    kind = AttemptKind.RETRY if again else AttemptKind.FIRST
+    is_retry = query.restarts or any(query.tries[shard] for shard in shards)
+    kind = AttemptKind.RETRY if is_retry else AttemptKind.FIRST
     query.unplaced.difference_update(shards)
     attempts.start(state, query, searcher, shards, kind)
-    if not again:
+    if not is_retry:
         query.service.hedge_budget(query.cls).earn(len(shards))
         query.service.retry_budget(query.cls).earn(len(shards))
 
 
-def _wake_when_rested(state: State, query: Query) -> None:
-    """Looks again when the next pausing searcher may be asked."""
+def _schedule_after_pause(state: State, query: Query) -> None:
+    """Sets a timer for the end of the next pause of a searcher."""
     searchers = query.service.searchers.values()
     pauses = [
         until
@@ -137,7 +140,7 @@
     ]
     if pauses:
         state.tables.set_timer(
-            min(pauses) + EARLY_WAKE_S,
+            min(pauses) + PAUSE_WAKE_DELAY_S,
             TimerKind.DISPATCH,
             query.service.rules.name,
         )
@@ -146,24 +149,24 @@
 def hedge(state: State, attempt: Attempt) -> None:
     """Asks other searchers for the shards of a late attempt.
 
-    Off under overload: when queries wait for room, a hedge takes the room of
-    a first attempt and makes all of them later. What can't be hedged now is
-    looked at again soon; a late attempt that is looked at only once stays
-    late when the other searchers were full at that moment.
+    No hedge starts under overload: while queries wait for room, it would take
+    the slot of a first attempt and delay them all. Shards that can't be hedged
+    now are checked again soon; with a single check, an attempt would stay late
+    if the other searchers were full at that moment.
     """
     query = attempt.query
     if attempt.cancelled or query.phase is not Phase.RUNNING:
         return
     if query.snapshot != attempt.snapshot:
         return
-    limits.note_overdue(attempt.searcher, state.now - attempt.started)
+    limits.record_overdue(attempt.searcher, state.now - attempt.started)
     late = _shards_to_hedge(query, attempt)
     if not late:
         return
     if not query.service.is_overloaded:
         _start_hedges(state, query, late)
     if _shards_to_hedge(query, attempt):
-        attempts.watch_again(state, attempt)
+        attempts.reschedule_hedge(state, attempt)
 
 
 def _start_hedges(state: State, query: Query, late: list[int]) -> None:
@@ -176,7 +179,7 @@
 
 
 def _shards_to_hedge(query: Query, attempt: Attempt) -> list[int]:
-    """Returns shards still missing that another searcher could answer."""
+    """Returns the missing shards that an untried searcher could answer."""
     snapshot = query.service.snapshots.get(query.snapshot)
     if snapshot is None:
         return []
--- a/greengagemoor/query/requests.py
+++ b/greengagemoor/query/requests.py
@@ -1,4 +1,4 @@
-"""Takes in requests: refuses them, joins them to a flight, or queues them."""
+"""Handles requests: rejects them, joins them to equal ones or queues them."""
 
 from __future__ import annotations
 
@@ -19,31 +19,32 @@
     from greengagemoor.query.tables import ServiceRow
 
 LEAVING_RETRY_S = 0.05
+"""Retry-after, in seconds, of an entry instance that shuts down."""
 
 
-def take(state: State, request: Request) -> None:
-    """Takes in a request: refuses it, joins it to a flight, or queues it."""
+def handle_request(state: State, request: Request) -> None:
+    """Rejects, joins or queues a request, or asks for its claim."""
     refusal = _check_request(state, request)
     if refusal:
-        _refuse(state, request, refusal)
+        _reject(state, request, refusal)
         return
     service = state.tables.services[request.service]
     cls = service.rules.request_class(request.request_class)
     wanted = request.deadline_s or cls.default_deadline_s
     deadline = state.now + min(wanted, cls.max_deadline_s)
     if request.repeatable and cls.repeatable:
-        _take_repeatable(state, request, service, cls, deadline)
+        _accept_repeatable(state, request, service, cls, deadline)
     else:
-        _take_claimed(state, request, service, cls, deadline)
+        _request_claim(state, request, service, cls, deadline)
 
 
 def _check_request(state: State, request: Request) -> Refusal | None:
     if state.closing:
-        leaving = "this entry is leaving"
+        leaving = "this entry instance is leaving"
         return Refusal(Code.NOT_RUN_LEAVING, LEAVING_RETRY_S, leaving)
     if state.document is None:
-        none_yet = "no document yet"
-        return Refusal(Code.NOT_RUN_NOT_READY, NO_CONTROL_RETRY_S, none_yet)
+        no_document = "no document received yet"
+        return Refusal(Code.NOT_RUN_NOT_READY, NO_CONTROL_RETRY_S, no_document)
     service = state.tables.services.get(request.service)
     if service is None or not service.rules.request_class(
         request.request_class
@@ -56,14 +57,14 @@
     return None
 
 
-def _refuse(state: State, request: Request, refusal: Refusal) -> None:
+def _reject(state: State, request: Request, refusal: Refusal) -> None:
     state.counters.refused += 1
     state.out.append(
         Reply(
             token=request.token,
             caller=request.caller,
             request_class=request.request_class,
-            answer=answers.refusal(
+            answer=answers.build_rejection(
                 request, refusal.code, refusal.retry_after_s, refusal.detail
             ),
             elapsed_s=0.0,
@@ -71,7 +72,7 @@
     )
 
 
-def _take_repeatable(
+def _accept_repeatable(
     state: State,
     request: Request,
     service: ServiceRow,
@@ -80,8 +81,8 @@
 ) -> None:
     query = _new_query(state, request, service, cls, deadline)
     if not pin(query):
-        none = Refusal(Code.NOT_RUN_NO_REPLICA, service.query_time)
-        _refuse(state, request, none)
+        no_replica = Refusal(Code.NOT_RUN_NO_REPLICA, service.query_time)
+        _reject(state, request, no_replica)
         return
     if _join(state, query):
         return
@@ -89,10 +90,10 @@
         service, cls, request.caller, deadline - state.now
     )
     if refusal:
-        _refuse(state, request, refusal)
+        _reject(state, request, refusal)
         return
     _make_room(state, query)
-    _enter(state, query)
+    _register(state, query)
     if query.flight_key:
         service.flights[query.flight_key] = query
 
@@ -124,10 +125,10 @@
 
 
 def _join(state: State, query: Query) -> bool:
-    """Adds the request to an equal one in flight on the same snapshot.
+    """Joins the request to an equal one in flight on the same snapshot.
 
-    The caller is part of the key unless the class lets callers share: they
-    are rivals, and an answer must not cross between them.
+    The caller is part of the key unless the class shares answers: callers may
+    be competitors, and an answer to one must not reach another.
     """
     if not query.cls.join_equal:
         return False
@@ -144,11 +145,11 @@
     if flight is None or flight.phase is Phase.DONE:
         query.flight_key = key
         return False
-    _follow(state, flight, query.waiters[request.token])
+    _attach_waiter(state, flight, query.waiters[request.token])
     return True
 
 
-def _follow(state: State, flight: Query, waiter: Waiter) -> None:
+def _attach_waiter(state: State, flight: Query, waiter: Waiter) -> None:
     flight.waiters[waiter.token] = waiter
     flight.deadline = max(flight.deadline, waiter.deadline)
     state.tables.by_token[waiter.token] = flight
@@ -157,48 +158,48 @@
 
 
 def _make_room(state: State, query: Query) -> None:
-    """Displaces the newest query of whoever waits most in a full queue."""
+    """Displaces a query of the caller with the most from a full queue."""
     queue = query.service.queue
     if len(queue) < query.cls.max_queue:
         return
-    victim = queue.newest_of_longest(query.cls.priority)
+    victim = queue.displacement_candidate(query.cls.priority)
     if victim is None:
         return
     queue.remove(victim)
     state.counters.displaced += 1
-    endings.drop(state, victim, Code.NOT_RUN_OVERLOAD)
+    endings.reject_queued(state, victim, Code.NOT_RUN_OVERLOAD)
 
 
-def _enter(state: State, query: Query) -> None:
+def _register(state: State, query: Query) -> None:
     state.tables.queries[query.id] = query
     for waiter in query.waiters.values():
         state.tables.by_token[waiter.token] = query
         state.tables.set_timer(waiter.deadline, TimerKind.WAITER, waiter.token)
-    _queue(state, query)
+    _enqueue(state, query)
 
 
-def _queue(state: State, query: Query) -> None:
+def _enqueue(state: State, query: Query) -> None:
     query.phase = Phase.QUEUED
     query.service.queue.push(query)
-    state.touch(query.service)
+    state.mark_dirty(query.service)
 
 
-def _take_claimed(
+def _request_claim(
     state: State,
     request: Request,
     service: ServiceRow,
     cls: RequestClass,
     deadline: float,
 ) -> None:
-    """Asks the ledger first: nothing is sent before a claim is granted."""
-    fault = _claim_fault(request)
-    if fault:
+    """Asks the ledger for a claim; nothing is sent before it is granted."""
+    error = _claim_error(request)
+    if error:
         code = Code.NOT_RUN_BAD_REQUEST
-        _refuse(state, request, Refusal(code, NO_CONTROL_RETRY_S, fault))
+        _reject(state, request, Refusal(code, NO_CONTROL_RETRY_S, error))
         return
     if not state.control_ready:
         code = Code.NOT_RUN_NO_CONTROL
-        _refuse(state, request, Refusal(code, NO_CONTROL_RETRY_S))
+        _reject(state, request, Refusal(code, NO_CONTROL_RETRY_S))
         return
     query = _new_query(state, request, service, cls, deadline)
     query.phase = Phase.CLAIMING
@@ -210,11 +211,11 @@
     )
 
 
-def _claim_fault(request: Request) -> str:
+def _claim_error(request: Request) -> str:
     if request.key is None:
         return "a request that is not repeatable needs a key"
     if issue_time(request.request_id) is None:
-        return "its id must be <unix milliseconds>-<anything unique>"
+        return "the request id must be <unix milliseconds>-<unique text>"
     return ""
 
 
@@ -224,4 +225,4 @@
     if not pin(query):
         endings.finish(state, query)
         return
-    _queue(state, query)
+    _enqueue(state, query)
--- a/greengagemoor/query/servers.py
+++ b/greengagemoor/query/servers.py
@@ -1,4 +1,4 @@
-"""Keeps the searcher rows and the snapshots they hold in step."""
+"""Applies changes of searchers and of the document to the tables."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     from greengagemoor.query.state import State
 
 
-def change(state: State, msg: ServerChanged) -> None:
-    """Enters a new or changed searcher."""
+def handle_server_changed(state: State, msg: ServerChanged) -> None:
+    """Adds a new searcher or updates a changed one."""
     service = state.tables.services.get(msg.server.service)
     if service is None:
         return
@@ -38,7 +38,7 @@
     else:
         _update_row(state, service, searcher, info, msg.share)
     add_holder(service, searcher)
-    state.touch(service)
+    state.mark_dirty(service)
 
 
 def _new_row(
@@ -49,15 +49,15 @@
         share=share,
         ready_since=state.now,
         adaptive=service.rules.adaptive_limit,
-        limit=_first_limit(service.rules, info, share),
+        limit=_initial_limit(service.rules, info, share),
     )
     service.searchers[info.name] = searcher
     return searcher
 
 
-def _first_limit(rules: Service, info: BackendServer, share: int) -> float:
-    part = -(-info.slots // rules.entries_per_service)
-    return float(max(1, min(share, part)))
+def _initial_limit(rules: Service, info: BackendServer, share: int) -> float:
+    slots_per_entry = -(-info.slots // rules.entries_per_service)
+    return float(max(1, min(share, slots_per_entry)))
 
 
 def _update_row(
@@ -68,9 +68,9 @@
     share: int,
 ) -> None:
     remove_holder(service, searcher)
-    if _is_drained(searcher) and info.state is ServerState.READY:
-        # An announcement sent before the drain may come after it. Draining is
-        # final within an incarnation, so the older word can't undo it.
+    if _is_draining(searcher) and info.state is ServerState.READY:
+        # An announcement sent before the drain may arrive after it. Draining
+        # is final within an incarnation, so the older state is not applied.
         info = attrs.evolve(info, state=ServerState.DRAINING)
     if searcher.info.state is ServerState.WARMING:
         searcher.ready_since = state.now
@@ -78,15 +78,15 @@
     searcher.share = share
 
 
-def _is_drained(searcher: Searcher) -> bool:
+def _is_draining(searcher: Searcher) -> bool:
     return searcher.info.state is ServerState.DRAINING
 
 
-def drain(state: State, searcher: Searcher) -> None:
-    """Takes no new work to a searcher that said in an answer that it drains.
+def mark_draining(state: State, searcher: Searcher) -> None:
+    """Stops placing work on a searcher that reported a drain in an answer.
 
-    Its announcement takes rounds to arrive here, and never does while this
-    entry is cut off; its own answer is the earliest word there is.
+    Its announcement takes several gossip rounds to arrive, and does not arrive
+    at all while this entry instance is partitioned; the answer comes first.
     """
     if searcher.info.state is ServerState.DRAINING:
         return
@@ -100,10 +100,10 @@
     )
 
 
-def drop_version(state: State, searcher: Searcher, version: int) -> None:
-    """Notes that a searcher no longer holds an index version."""
-    left = tuple(v for v in searcher.info.versions if v.version != version)
-    _replace(state, searcher, attrs.evolve(searcher.info, versions=left))
+def remove_version(state: State, searcher: Searcher, version: int) -> None:
+    """Records that a searcher no longer holds an index version."""
+    remaining = tuple(v for v in searcher.info.versions if v.version != version)
+    _replace(state, searcher, attrs.evolve(searcher.info, versions=remaining))
 
 
 def _replace(state: State, searcher: Searcher, info: BackendServer) -> None:
@@ -114,11 +114,11 @@
     remove_holder(service, searcher)
     searcher.info = info
     add_holder(service, searcher)
-    state.touch(service)
+    state.mark_dirty(service)
 
 
-def leave(state: State, msg: ServerGone) -> None:
-    """Takes out a searcher; attempts under way on it may still end well."""
+def handle_server_gone(state: State, msg: ServerGone) -> None:
+    """Removes a searcher; its attempts in flight may still be answered."""
     service = state.tables.services.get(msg.service)
     if service is None:
         return
@@ -126,16 +126,16 @@
     if searcher is None:
         return
     remove_holder(service, searcher)
-    state.touch(service)
+    state.mark_dirty(service)
 
 
-def change_document(state: State, msg: DocumentChanged) -> None:
-    """Puts a document in force: rules change, services come and go."""
+def handle_document_changed(state: State, msg: DocumentChanged) -> None:
+    """Applies a document: updates rules, adds and removes services."""
     state.document = msg.document
     state.document_version = msg.version
     rules = {service.name: service for service in msg.document.services}
     for name in set(state.tables.services) - set(rules):
-        _drop_service(state, state.tables.services.pop(name))
+        _remove_service(state, state.tables.services.pop(name))
     for name, service in rules.items():
         row = state.tables.services.get(name)
         if row is None:
@@ -152,6 +152,6 @@
         searcher.adaptive = rules.adaptive_limit
 
 
-def _drop_service(state: State, row: ServiceRow) -> None:
+def _remove_service(state: State, row: ServiceRow) -> None:
     while (query := row.queue.pop()) is not None:
-        endings.drop(state, query, Code.NOT_RUN_UNKNOWN_SERVICE)
+        endings.reject_queued(state, query, Code.NOT_RUN_UNKNOWN_SERVICE)
--- a/greengagemoor/query/snapshots.py
+++ b/greengagemoor/query/snapshots.py
@@ -1,4 +1,4 @@
-"""Which index version a query is pinned to, and what holds it."""
+"""Selects the index version of a query; tracks the holders of shards."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 def add_holder(service: ServiceRow, searcher: Searcher) -> None:
-    """Enters what a searcher holds; only a ready one holds shards."""
+    """Adds a searcher's versions, and its shards if it is ready."""
     ready = searcher.info.state is ServerState.READY and searcher.share > 0
     for held in searcher.info.versions:
         snapshot = service.snapshots.setdefault(
             held.version, Snapshot(held.version)
         )
-        # The count is entered for a searcher in any state: a shard whose last
-        # holder drains must still be counted as missing.
+        # The shard count is recorded for a searcher in any state: a shard whose
+        # last holder drains must still be counted as missing.
         snapshot.counts[held.shard_count] += 1
         for shard in held.shards if ready else ():
             holders = snapshot.holders.setdefault(shard, {})
@@ -28,7 +28,7 @@
 
 
 def remove_holder(service: ServiceRow, searcher: Searcher) -> None:
-    """Takes out all that ``add_holder`` entered for this searcher."""
+    """Removes everything that ``add_holder`` added for this searcher."""
     for held in searcher.info.versions:
         snapshot = service.snapshots.get(held.version)
         if snapshot is None:
@@ -52,31 +52,31 @@
 
 
 def pick_snapshot(
-    service: ServiceRow, least_coverage: float, floor: int
+    service: ServiceRow, least_coverage: float, min_version: int
 ) -> Snapshot | None:
     """Returns the snapshot for a new query, None if none has a holder.
 
-    Order of preference: meets the coverage rule, then newest; without any
-    that meets the rule, the one with most coverage. A version below the
-    caller's floor is never picked, so that a caller who names what it last
-    saw does not go back. A version whose searchers claim different shard
-    counts is never picked, since its coverage could not be told truly.
+    The newest version with at least ``least_coverage`` is preferred, else the
+    one with the most coverage. A version below ``min_version`` is never
+    selected, so that a caller that sends the last version it saw does not get
+    an older one. Nor is a version whose searchers announce different shard
+    counts, since its coverage is not known.
     """
     usable = [
         snapshot
         for snapshot in service.snapshots.values()
         if snapshot.holders
         and not snapshot.in_conflict
-        and snapshot.version >= floor
+        and snapshot.version >= min_version
     ]
-    meeting = [s for s in usable if s.coverage >= least_coverage]
-    if meeting:
-        return max(meeting, key=lambda s: s.version)
+    sufficient = [s for s in usable if s.coverage >= least_coverage]
+    if sufficient:
+        return max(sufficient, key=lambda s: s.version)
     return max(usable, key=lambda s: (s.coverage, s.version), default=None)
 
 
 def shards_for(snapshot: Snapshot, key: str | None) -> tuple[int, ...]:
-    """Returns the shards a request needs: the key's one, or all."""
+    """Returns the shards that a request needs: the key's shard, or all."""
     if key is None:
         return tuple(range(snapshot.shard_count))
     digest = hashlib.blake2b(key.encode(), digest_size=8).digest()
@@ -85,9 +85,9 @@
 
 def pin(query: Query) -> bool:
     """Pins a query to a snapshot; False when none has a holder."""
-    floor = query.request.least_snapshot
-    least = query.cls.least_coverage
-    snapshot = pick_snapshot(query.service, least, floor)
+    min_version = query.request.least_snapshot
+    coverage = query.cls.least_coverage
+    snapshot = pick_snapshot(query.service, coverage, min_version)
     if snapshot is None:
         return False
     query.snapshot = snapshot.version
--- a/greengagemoor/query/state.py
+++ b/greengagemoor/query/state.py
@@ -1,4 +1,4 @@
-"""State of the query decider that its systems share."""
+"""State shared by the modules of the query decider."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @attrs.define
 class Counters:
-    """Totals for metrics and the bench; shards count once an attempt."""
+    """Totals; a shard counts once per attempt that asks for it."""
 
     first_shards: int = 0
     retry_shards: int = 0
@@ -33,12 +33,12 @@
 
 @attrs.define(eq=False)
 class State:
-    """Tables, clock, randomness and output of one tick.
+    """Tables, clock, random source and output of the query decider.
 
     Attributes:
-        home: data centre of this entry.
+        home: data centre of this entry instance.
         out: messages that this tick sends.
-        closing: True once the entry takes no new requests.
+        closing: True once new requests are rejected.
     """
 
     home: str
@@ -62,12 +62,12 @@
         """Returns an id that this process has not used."""
         return next(self._query_ids)
 
-    def touch(self, service: ServiceRow) -> None:
-        """Marks a service whose waiting queries should be looked at."""
+    def mark_dirty(self, service: ServiceRow) -> None:
+        """Marks a service for placement of its waiting queries."""
         self.tables.dirty[service.rules.name] = service
 
     def count_attempt(self, kind: AttemptKind, shards: int) -> None:
-        """Counts an attempt by why it was started."""
+        """Counts an attempt and its shards by the kind of the attempt."""
         self.counters.attempts += 1
         if kind is AttemptKind.FIRST:
             self.counters.first_shards += shards
--- a/greengagemoor/query/tables.py
+++ b/greengagemoor/query/tables.py
@@ -1,4 +1,4 @@
-"""Rows and tables of the query decider."""
+"""Tables of the query decider and their rows."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
     from greengagemoor.document import RequestClass, Service
     from greengagemoor.query.messages import Request
 
-FIRST_LATENCY_S = 0.02
+INITIAL_LATENCY_S = 0.02
+"""Latency and query time, in seconds, assumed before the first sample."""
 
 
 class AttemptKind(enum.Enum):
@@ -32,7 +33,7 @@
 
 @attrs.define(eq=False)
 class Searcher:
-    """A backend server as this entry knows and measures it."""
+    """A backend server, with this entry instance's measurements of it."""
 
     info: BackendServer
     share: int
@@ -40,7 +41,7 @@
     adaptive: bool = True
     in_flight: int = 0
     limit: float = 1.0
-    latency: float = FIRST_LATENCY_S
+    latency: float = INITIAL_LATENCY_S
     last_used: float = 0.0
     failures: int = 0
     sheds: int = 0
@@ -60,12 +61,12 @@
 
     @property
     def in_conflict(self) -> bool:
-        """Whether two searchers claim different shard counts."""
+        """Whether two searchers announce different shard counts."""
         return len(self.counts) > 1
 
     @property
     def shard_count(self) -> int:
-        """Shards in this version."""
+        """Number of shards in this version."""
         return next(iter(self.counts), 0)
 
     @property
@@ -76,7 +77,7 @@
 
 @attrs.define(eq=False)
 class ServiceRow:
-    """A service: its rules, searchers, snapshots, queue and measures."""
+    """A service: its rules, searchers, snapshots, queue and measurements."""
 
     rules: Service
     searchers: dict[str, Searcher] = attrs.field(factory=dict)
@@ -84,7 +85,7 @@
     queue: FairQueue = attrs.field(factory=FairQueue)
     unplaced: dict[int, Query] = attrs.field(factory=dict)
     running: int = 0
-    query_time: float = FIRST_LATENCY_S
+    query_time: float = INITIAL_LATENCY_S
     latency: LatencyWindow = attrs.field(factory=LatencyWindow)
     hedges: dict[str, Budget] = attrs.field(factory=dict)
     retries: dict[str, Budget] = attrs.field(factory=dict)
@@ -92,7 +93,7 @@
 
     @property
     def is_overloaded(self) -> bool:
-        """Whether queries wait for room, so that extra load would hurt."""
+        """Whether queries wait for room and extra attempts would delay them."""
         return len(self.queue) > 0
 
     def hedge_budget(self, cls: RequestClass) -> Budget:
@@ -110,7 +111,7 @@
 
 @attrs.define(eq=False)
 class Waiter:
-    """One caller's connection that waits for a query's answer."""
+    """A caller's connection that waits for the answer of a query."""
 
     token: int
     caller: str
@@ -120,7 +121,7 @@
 
 
 class Phase(enum.Enum):
-    """Where a query stands."""
+    """State of a query's life cycle."""
 
     CLAIMING = "claiming"
     QUEUED = "queued"
@@ -130,7 +131,7 @@
 
 @attrs.define(eq=False)
 class Query:
-    """One flight: a request that is asked of searchers, and its waiters."""
+    """A request sent to searchers, with all waiters that joined this flight."""
 
     id: int
     request: Request
@@ -159,24 +160,24 @@
     flight_key: tuple | None = None
     began: float = 0.0
 
-    def is_resting(self, now: float) -> bool:
-        """Whether a searcher that refused it is being left alone."""
+    def is_paused(self, now: float) -> bool:
+        """Whether a searcher that refused the query is not asked for now."""
         return any(until > now for until in self.paused.values())
 
     @property
     def coverage(self) -> float:
-        """Share of the needed shards that are reflected."""
+        """Share of the needed shards that have a result."""
         return len(self.reflected) / len(self.needed) if self.needed else 0.0
 
     @property
     def is_claimed(self) -> bool:
-        """Whether the ledger granted this query's single send."""
+        """Whether the ledger granted the claim to send this query once."""
         return self.send_before != float("inf")
 
 
 @attrs.define(eq=False)
 class Attempt:
-    """All shards that one searcher is asked for one query."""
+    """One send to a searcher, for one or more shards of a query."""
 
     id: int
     query: Query
@@ -190,7 +191,7 @@
 
 
 class TimerKind(enum.Enum):
-    """What falls due."""
+    """What a timer triggers when it expires."""
 
     WAITER = "waiter"
     CUT = "cut"
@@ -201,7 +202,7 @@
 
 @attrs.define(eq=False)
 class Tables:
-    """All rows of the query decider, and the timers over them."""
+    """All tables of the query decider, and its timers."""
 
     services: dict[str, ServiceRow] = attrs.field(factory=dict)
     queries: dict[int, Query] = attrs.field(factory=dict)
@@ -212,11 +213,11 @@
     ids: count = attrs.field(factory=lambda: count(1))
 
     def set_timer(self, at: float, kind: TimerKind, key) -> None:
-        """Makes ``key`` fall due at ``at``; stale timers are ignored."""
+        """Sets a timer for ``key`` at ``at``; stale timers have no effect."""
         heapq.heappush(self.timers, (at, next(self.ids), kind, key))
 
-    def due(self, now: float):
-        """Yields (kind, key) of what is due."""
+    def pop_due(self, now: float):
+        """Removes the expired timers and yields the (kind, key) of each."""
         while self.timers and self.timers[0][0] <= now:
             _, _, kind, key = heapq.heappop(self.timers)
             yield kind, key
