--- a/greengagemoor/query/latency.py
+++ b/greengagemoor/query/latency.py
@@ -33,7 +33,7 @@
             self._sorted.remove(self._order.popleft())
 
     def quantile(self, share: float) -> float | None:
-        """Returns the sample at ``share`` (0 to 1), None if there are too few."""
+        """Returns the sample at ``share`` (0 to 1), None if too few exist."""
         count = len(self._sorted)
         if count < MIN_SAMPLES:
             return None
--- a/tests/test_query/helpers.py
+++ b/tests/test_query/helpers.py
@@ -1,4 +1,4 @@
-"""A query decider with searchers, driven by hand."""
+"""Drives a query decider with simulated searchers, step by step."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Driver:
-    """Runs one decider; keeps the attempts under way and all replies."""
+    """Runs one decider; records all attempts it starts and all replies."""
 
     def __init__(self, document: str = DOCUMENT, searchers=(), **fields):
         self.now = 0.0
@@ -28,7 +28,7 @@
             self.announce(name, shards, **fields)
 
     def send(self, *msgs: object, at: float | None = None) -> list:
-        """Runs one tick; returns what came out."""
+        """Runs one tick; returns its output messages."""
         self.now = self.now if at is None else at
         out = self.decider.step(self.now, msgs)
         self.out.extend(out)
@@ -40,7 +40,7 @@
         return out
 
     def announce(self, name: str, shards, share: int = SHARE, **fields):
-        """Enters or changes a searcher."""
+        """Adds or changes a searcher."""
         return self.send(q.ServerChanged(server(name, shards, **fields), share))
 
     def ask(self, caller: str = "atlas", **fields) -> int:
@@ -57,7 +57,7 @@
         return self._tokens
 
     def under_way(self, server_name: str | None = None) -> list:
-        """Returns attempts not ended, of one searcher or of all."""
+        """Returns the attempts in flight on one searcher or on all."""
         live = self.decider.state.tables.attempts
         return [
             attempt
@@ -66,16 +66,16 @@
         ]
 
     def answer(self, attempt: q.StartAttempt, after: float = 0.01, **changes):
-        """Has a searcher answer an attempt."""
+        """Answers an attempt ``after`` seconds from now."""
         return self.send(answer_to(attempt, **changes), at=self.now + after)
 
     def answer_all(self, after: float = 0.01) -> None:
-        """Has every attempt answered, also those that follow."""
+        """Answers attempts until none is in flight."""
         while attempts := self.under_way():
             self.answer(attempts[0], after)
 
     def fail(self, attempt: q.StartAttempt, failure: q.Failure, **fields):
-        """Ends an attempt with a failure."""
+        """Reports that an attempt failed."""
         msg = q.AttemptFailed(attempt.attempt_id, failure, **fields)
         return self.send(msg)
 
--- a/tests/test_query/test_admission.py
+++ b/tests/test_query/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: refusals that are in time, fair, and not for ever."""
+"""Admission control: rejections are early, fair and not permanent."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def fill(driver: Driver, count: int, caller: str = "atlas", **fields) -> list:
-    """Sends distinct requests; returns their tokens."""
+    """Sends requests that differ in their body; returns their tokens."""
     return [
         driver.ask(caller, body=f'"{caller}{i}"', **fields)
         for i in range(count)
@@ -17,14 +17,13 @@
 
 
 class TestRefusal:
-    """Who is refused at once, and who gets in again."""
+    """Which requests are rejected, and when requests are accepted again."""
 
     def test_refused_at_once_when_wait_passes_deadline(self):
-        """A queue of answers that nobody waits for any more.
+        """Guards against a queue of requests that will miss their deadline.
 
-        Symptom: full searchers, and hardly an answer in time.
-        Sequence: far more requests than the searchers work off.
-        Cause: every request is queued, however long the queue is.
+        If every request is queued under overload, searchers are fully loaded
+        and almost no answer is in time.
         """
         driver = Driver(searchers=ONE)
         for attempt in [driver.ask() for _ in range(3)]:
@@ -39,15 +38,12 @@
             assert answer.retry_after_s > 0
             assert driver.replies[token].elapsed_s == 0
 
-    def test_admits_again_after_a_slow_time(self):
-        """Refusing for ever.
+    def test_accepts_again_after_a_slow_period(self):
+        """Guards against rejecting every request after a slow period.
 
-        Symptom: a service that was slow for a minute answers nobody, long
-        after its searchers recovered.
-        Sequence: queries take longer than half of the deadline; then nothing
-        runs any more, and the searchers are fast again.
-        Cause: the expected time is learnt from queries only, and with all
-        refused none runs.
+        Queries take longer than half of the deadline; then none runs, and the
+        searchers recover. The expected time is measured on running queries
+        only, so with all requests rejected it would never fall again.
         """
         driver = Driver(searchers=ONE)
         for _ in range(30):
@@ -57,12 +53,11 @@
         driver.answer_all(0.01)
         assert driver.reply(token).code == Code.WHOLE
 
-    def test_other_callers_keep_their_turn(self):
-        """One caller's spike in everybody's way.
+    def test_spike_of_one_caller_does_not_delay_others(self):
+        """Guards against a spike of one caller delaying all callers.
 
-        Symptom: all callers wait as long as the one that sends most.
-        Sequence: one caller queues many requests, then another sends one.
-        Cause: one queue in order of arrival.
+        One caller queues many requests, then another sends one. In a FIFO
+        queue the second caller waits as long as the first.
         """
         driver = Driver(searchers=ONE)
         fill(driver, 40, "spiking", deadline_s=20)
@@ -73,7 +68,7 @@
             answered_before += 1
         assert answered_before < 10
 
-    def test_full_queue_displaces_who_waits_most(self):
+    def test_full_queue_displaces_query_of_busiest_caller(self):
         driver = Driver(searchers=ONE)
         spike = fill(driver, 230, "spiking", deadline_s=30)
         token = driver.ask("quiet", deadline_s=30)
@@ -82,7 +77,9 @@
         codes = {driver.reply(t).code for t in displaced}
         assert codes == {Code.NOT_RUN_OVERLOAD}
 
-    def test_waiter_that_becomes_hopeless_is_told_before_its_deadline(self):
+    def test_queued_query_that_becomes_late_is_rejected_before_its_deadline(
+        self,
+    ):
         driver = Driver(searchers=ONE, share=2)
         fill(driver, 4, deadline_s=10)
         hopeless = driver.ask(body='"late"', deadline_s=0.4)
@@ -95,7 +92,7 @@
 
 
 class TestClosing:
-    """An entry that leaves refuses new work and finishes the old."""
+    """A leaving entry instance rejects new requests and finishes the others."""
 
     def test_running_request_is_finished(self):
         driver = Driver(searchers=ONE)
--- a/tests/test_query/test_claims.py
+++ b/tests/test_query/test_claims.py
@@ -1,4 +1,4 @@
-"""Requests that are not repeatable, in the query decider alone."""
+"""Requests that are not repeatable, tested on the query decider alone."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class TestClaims:
-    """Nothing is sent without a claim, or after its end."""
+    """Nothing is sent before a claim is granted or after it expired."""
 
     def test_nothing_is_sent_before_the_grant(self):
         driver = Driver(searchers={"a": (0, 1)})
@@ -43,13 +43,13 @@
         assert driver.reply(token).code == Code.WHOLE
         assert of_kind(driver.out, OutcomeKnown)[0].code == Code.WHOLE
 
-    def test_claim_that_ends_in_the_queue_is_not_sent(self):
-        """A crew that is booked an hour late.
+    def test_claim_that_expires_in_the_queue_is_not_sent(self):
+        """Guards against sending a request after its claim expired.
 
-        Symptom: a booking runs long after its caller was told "unknown".
-        Sequence: the claim is granted, the searcher is full, the entry is
-        frozen; it wakes when the claim has ended, and the searcher is free.
-        Cause: the end of the claim is not looked at before the send.
+        The claim is granted while the searcher is full. The process is
+        suspended and resumes after the claim expired, when the searcher has
+        room. Without a check before the send, the request runs long after its
+        caller was answered "unknown".
         """
         driver = Driver(searchers={"a": (0, 1)}, share=1)
         driver.ask(deadline_s=2.9)
@@ -60,7 +60,7 @@
         assert is_not_run(driver.reply(token).code)
         assert is_not_run(of_kind(driver.out, OutcomeKnown)[0].code)
 
-    def test_grant_that_comes_too_late_is_given_back(self):
+    def test_late_grant_is_released(self):
         driver = Driver(searchers={"a": (0, 1)})
         token = driver.ask(**BOOKING)
         driver.send(at=3.0)
--- a/tests/test_query/test_outcomes.py
+++ b/tests/test_query/test_outcomes.py
@@ -1,4 +1,4 @@
-"""True coverage, own answers, and codes that follow from the history."""
+"""Coverage, answers per caller, result codes, and bounds on extra attempts."""
 
 from __future__ import annotations
 
@@ -24,14 +24,13 @@
 
 
 class TestCoverage:
-    """Shards reflected and missing, with a reason each."""
+    """Shards with a result, and missing shards with their reasons."""
 
     def test_shard_without_any_replica_is_counted_as_missing(self):
-        """A shard that nobody counts.
+        """Guards against a "whole" answer that lacks a shard.
 
-        Symptom: an answer is called whole, and a region is not in it.
-        Sequence: the last searcher of a shard goes away.
-        Cause: shards are counted over the searchers that are there.
+        The last searcher of a shard leaves. Counting only shards that have a
+        searcher would make the answer look complete.
         """
         driver = Driver(NO_RETRY, {"a": (0,), "b": (1, 2)}, shard_count=3)
         driver.announce("b", (1,), shard_count=3, sequence=2)
@@ -45,7 +44,7 @@
             (2, "no_live_replica")
         ]
 
-    def test_answer_after_the_cut_is_not_claimed(self):
+    def test_answer_after_the_reply_is_not_counted_in_coverage(self):
         driver = Driver(NO_RETRY, {"a": (0,), "b": (1,)})
         token = driver.ask(deadline_s=0.1)
         first, second = driver.under_way()
@@ -67,13 +66,12 @@
         ],
         ids=["version", "request", "shard", "doubled shard"],
     )
-    def test_answer_that_is_not_the_attempts_own(self, changes):
-        """Another request's results.
+    def test_answer_that_does_not_match_its_attempt(self, changes):
+        """Guards against answering a caller with another request's results.
 
-        Symptom: a caller reads the answer to a question it did not ask.
-        Sequence: a connection is used again while an old answer is due; the
-        old answer is read as the new one's.
-        Cause: the answer's echo is not checked.
+        A connection is reused while an old answer is outstanding, and the old
+        answer is read as the answer to the new attempt. Request id, snapshot
+        and shards of the answer must be checked.
         """
         driver = Driver(NO_RETRY, {"a": (0, 1)})
         token = driver.ask()
@@ -82,7 +80,7 @@
         assert answer.code == Code.UNKNOWN
         assert answer.results == ()
 
-    def test_short_answer_is_asked_again_elsewhere(self):
+    def test_shard_missing_in_an_answer_is_retried_elsewhere(self):
         driver = Driver(searchers=PAIR)
         token = driver.ask()
         first = driver.under_way()[0]
@@ -119,12 +117,11 @@
         assert driver.reply(theirs).results == value
         assert driver.reply(mine).results != value
 
-    def test_rivals_do_not_share_an_answer(self):
-        """An answer that crosses between rivals.
+    def test_equal_queries_of_two_callers_do_not_join(self):
+        """Guards against an answer to one caller reaching a competitor.
 
-        Symptom: one firm's attempt count shows in another's answer.
-        Sequence: two callers ask the same thing within milliseconds.
-        Cause: equal queries are joined whoever asks.
+        Two callers send equal requests within milliseconds. If both join one
+        query, the answer of one shows the attempt count of the other.
         """
         driver = Driver(searchers=PAIR)
         driver.ask("atlas", body='"q"')
@@ -160,7 +157,7 @@
         driver.answer_all()
         assert driver.reply(patient).code == Code.WHOLE
 
-    def test_late_and_doubled_answers_change_nothing(self):
+    def test_duplicate_answer_changes_nothing(self):
         driver = Driver(searchers={"a": (0, 1)})
         token = driver.ask()
         attempt = driver.under_way()[0]
@@ -169,7 +166,7 @@
         assert driver.reply(token).code == Code.WHOLE
         assert driver.decider.state.counters.late_answers == 1
 
-    def test_caller_that_hangs_up_ends_only_its_own_wait(self):
+    def test_closed_connection_ends_only_its_own_wait(self):
         driver = Driver(searchers=PAIR)
         gone = driver.ask(body='"q"')
         stays = driver.ask(body='"q"')
@@ -180,9 +177,9 @@
 
 
 class TestNotRun:
-    """Not run is said only when it is true of the whole history."""
+    """A "not run" code requires that no attempt of the query may have run."""
 
-    def test_refused_by_all_is_not_run(self):
+    def test_refused_by_every_searcher_is_not_run(self):
         driver = Driver(NO_RETRY, {"a": (0, 1)})
         token = driver.ask()
         driver.fail(driver.under_way()[0], Failure.SHED)
@@ -190,12 +187,12 @@
         assert answer.code == Code.NOT_RUN_REFUSED
         assert answer.retry_after_s > 0
 
-    def test_timeout_then_refusals_is_not_not_run(self):
-        """Not run, said after a timeout.
+    def test_timeout_then_refusals_is_unknown(self):
+        """Guards against "not run" after an attempt that timed out.
 
-        Symptom: a caller books again after "not run", and two crews come.
-        Sequence: the first attempt times out, the retries are refused.
-        Cause: the code follows from the last attempt only.
+        The first attempt times out and the retries are refused. If the code
+        depended on the last attempt only, the caller would send again and the
+        request could run twice.
         """
         driver = Driver(searchers=PAIR)
         token = driver.ask()
@@ -204,26 +201,25 @@
             driver.fail(driver.under_way()[0], Failure.DRAINING)
         assert driver.reply(token).code == Code.UNKNOWN
 
-    def test_cancelled_hedge_is_not_not_run(self):
+    def test_cancelled_attempt_is_unknown(self):
         driver = Driver(NO_RETRY, {"a": (0, 1)})
         token = driver.ask()
         driver.fail(driver.under_way()[0], Failure.CANCELLED)
         assert driver.reply(token).code == Code.UNKNOWN
 
-    def test_attempt_still_due_at_the_deadline_is_not_not_run(self):
+    def test_attempt_in_flight_at_the_deadline_is_unknown(self):
         driver = Driver(searchers={"a": (0, 1)})
         token = driver.ask(deadline_s=0.2)
         driver.send(at=0.2)
         assert driver.reply(token).code == Code.UNKNOWN
         assert of_kind(driver.out, CancelAttempt)
 
-    def test_empty_answer_is_not_not_run(self):
-        """Not run, said after an answer without results.
+    def test_empty_answer_is_unknown(self):
+        """Guards against "not run" after an answer without results.
 
-        Symptom: a caller books again after "not run", and two crews come.
-        Sequence: the searcher answers 200 with no result for the shard; no
-        other searcher holds it.
-        Cause: only failures count as possible runs.
+        The searcher answers 200 with no result for the shard, and no other
+        searcher holds it. The attempt may have run, so a caller that sends
+        again could run the request twice.
         """
         driver = Driver(NO_RETRY, {"a": (0, 1)})
         token = driver.ask()
@@ -238,15 +234,13 @@
 
 
 class TestGivenUp:
-    """A request given up on gets its final answer at once."""
+    """A request that can't get further results is answered at once."""
 
     def test_final_answer_does_not_wait_for_the_deadline(self):
-        """An answer held back.
+        """Guards against delaying a certain rejection until the deadline.
 
-        Symptom: callers wait seconds for a refusal that was certain at once.
-        Sequence: every searcher refuses, no attempt is left; the deadline is
-        far away.
-        Cause: the answer is sent when the deadline comes.
+        Every searcher refuses and no attempt is left, but the deadline is
+        seconds away.
         """
         driver = Driver(NO_RETRY, {"a": (0, 1)})
         token = driver.ask(deadline_s=30.0)
@@ -254,7 +248,7 @@
         assert driver.replies[token].elapsed_s == 0
         assert driver.reply(token).retry_after_s > 0
 
-    def test_every_refusal_says_when_to_come_back(self):
+    def test_every_rejection_has_a_retry_after(self):
         driver = Driver()
         tokens = [driver.ask(), driver.ask(service="none")]
         for token in tokens:
@@ -262,9 +256,9 @@
 
 
 class TestExtraWork:
-    """Hedges and retries within budgets, and off under overload."""
+    """Hedges and retries stay within budgets and stop under overload."""
 
-    def test_hedge_asks_only_what_is_missing(self):
+    def test_first_answer_of_a_hedged_attempt_cancels_the_other(self):
         driver = Driver(searchers=PAIR)
         token = driver.ask()
         driver.send(at=0.06)
@@ -275,13 +269,11 @@
         cancelled = of_kind(driver.out, CancelAttempt)
         assert [c.attempt_id for c in cancelled] == [first.attempt_id]
 
-    def test_no_hedge_while_others_wait_for_room(self):
-        """Hedges that make an overload worse.
+    def test_no_hedge_while_queries_wait_for_room(self):
+        """Guards against hedges that add load while searchers are full.
 
-        Symptom: attempts for each shard rise just when the searchers are full.
-        Sequence: a slot gets free in the moment in which an attempt counts as
-        late, while a query waits for its first attempt.
-        Cause: the hedge takes the slot.
+        A slot becomes free at the moment when an attempt counts as late, while
+        a query waits for its first attempt. The hedge must not take the slot.
         """
         driver = Driver(searchers=PAIR, share=1)
         for number in range(3):
@@ -292,12 +284,10 @@
         assert driver.decider.state.counters.hedge_shards == 0
 
     def test_cancelled_attempt_keeps_its_connection_counted(self):
-        """A cap that is passed by cancelled work.
+        """Guards against exceeding the connection cap by cancelled attempts.
 
-        Symptom: a searcher refuses connections although limits are kept.
-        Sequence: hedged attempts are cancelled; their answers are still due
-        on their connections; new attempts open more.
-        Cause: a cancelled attempt counts as ended.
+        A cancelled attempt still has its answer outstanding on its connection.
+        If it counted as ended, new attempts would open further connections.
         """
         driver = Driver(searchers=PAIR, share=1)
         driver.ask()
--- a/tests/test_query/test_snapshots.py
+++ b/tests/test_query/test_snapshots.py
@@ -1,4 +1,4 @@
-"""One snapshot an answer, through changes of version and partition."""
+"""One snapshot per answer, through changes of version and shard count."""
 
 from __future__ import annotations
 
@@ -16,15 +16,14 @@
 
 
 class TestOneSnapshot:
-    """Results of two versions never meet in one answer."""
+    """An answer never combines results of two versions."""
 
     def test_version_change_while_a_query_runs(self):
-        """An answer of two versions.
+        """Guards against a retry on a newer version than the first results.
 
-        Symptom: a contract appears as both open and closed in one answer.
-        Sequence: shard 0 answers on version 1; the searchers change to
-        version 2; shard 1 is asked again and answers on version 2.
-        Cause: the retry goes to whatever version is newest.
+        Shard 0 answers on version 1, the searchers change to version 2, and
+        shard 1 is asked again and answers on version 2. The answer would be
+        inconsistent, such as a record that is both open and closed.
         """
         driver = Driver(searchers={"a": (0,), "b": (1,)})
         token = driver.ask()
@@ -40,12 +39,10 @@
         assert versions_in(answer) == {"v2"}
 
     def test_late_answer_of_the_old_version_after_a_restart(self):
-        """An old result in a new answer.
+        """Guards against adding a result of the old version after a restart.
 
-        Symptom: one shard of an answer is a version behind.
-        Sequence: a hedge wins and the late attempt is cancelled; the version
-        goes and the query starts again; the cancelled attempt answers.
-        Cause: an answer is taken in by its query, whatever it now asks.
+        A hedge answers first and the late attempt is cancelled. The version is
+        dropped, the query restarts, and the cancelled attempt answers.
         """
         driver = Driver(searchers={"a": (0,), "b": (0,), "c": (1,)})
         token = driver.ask()
@@ -64,7 +61,7 @@
         assert versions_in(answer) == {"v2"}
         assert answer.coverage.reflected == (0, 1)
 
-    def test_repartition_restarts_the_whole_query(self):
+    def test_change_of_shard_count_restarts_the_query(self):
         driver = Driver(searchers={"a": (0, 1)})
         token = driver.ask()
         driver.announce("a", (0, 1, 2), version=2, shard_count=3, sequence=2)
@@ -75,7 +72,7 @@
         assert answer.coverage.reflected == (0, 1, 2)
         assert versions_in(answer) == {"v2"}
 
-    def test_version_vanishes_and_nothing_newer_is_there(self):
+    def test_version_is_dropped_without_a_newer_one(self):
         driver = Driver(searchers={"a": (0,), "b": (1,)})
         token = driver.ask()
         first, second = driver.under_way()
@@ -87,13 +84,12 @@
         assert answer.snapshot == 1
         assert [m.shard for m in answer.coverage.missing] == [1]
 
-    def test_two_shard_counts_for_one_version(self):
-        """Coverage that can't be told.
+    def test_version_with_two_shard_counts_is_not_used(self):
+        """Guards against wrong coverage after conflicting announcements.
 
-        Symptom: an answer says 2 of 2 shards, while another index has 3.
-        Sequence: two searchers announce one version with different counts,
-        to two entries that had not yet heard of each other's word.
-        Cause: one of the counts is taken for true.
+        Two searchers announce one version with different shard counts to two
+        entry instances that have not yet gossiped. Using either count could
+        report 2 of 2 shards where there are 3.
         """
         driver = Driver(searchers={"a": (0, 1)})
         driver.announce("b", (0, 1, 2), shard_count=3)
@@ -106,22 +102,21 @@
 
 
 class TestChoice:
-    """Which snapshot a new query is pinned to."""
+    """Selection of the snapshot for a new query."""
 
-    def test_newest_that_meets_the_coverage_rule(self):
+    def test_newest_with_enough_coverage(self):
         driver = Driver(searchers=PAIR)
         driver.announce("b", (0,), version=2, sequence=2)
         token = driver.ask()
         driver.answer_all()
         assert driver.reply(token).snapshot == 1
 
-    def test_a_caller_does_not_go_back(self):
-        """A record that disappears.
+    def test_snapshot_is_not_older_than_the_caller_accepts(self):
+        """Guards against an older version than the caller saw before.
 
-        Symptom: a contract that was shown a second ago is not found.
-        Sequence: the newest version loses a shard; the query falls back to an
-        older whole one, which lacks what the caller has seen.
-        Cause: nobody says what the caller has seen, at any entry.
+        The newest version loses a shard, and a query falls back to an older
+        version with full coverage, which lacks a record that the caller was
+        shown. The caller sends the oldest version that it accepts.
         """
         driver = Driver(searchers={"a": (0, 1)})
         driver.announce("b", (0,), version=2)
@@ -133,22 +128,20 @@
         assert answer.snapshot == 2
         assert answer.code == Code.BELOW_COVERAGE
 
-    def test_floor_above_all_versions_is_not_run(self):
+    def test_least_snapshot_above_all_versions_is_not_run(self):
         driver = Driver(searchers={"a": (0, 1)})
         token = driver.ask(least_snapshot=5)
         assert driver.reply(token).code == Code.NOT_RUN_NO_REPLICA
 
 
 class TestLeaving:
-    """A searcher that says it drains gets no new work."""
+    """A searcher that reports that it drains gets no new attempts."""
 
-    def test_drain_in_an_answer_acts_at_once(self):
-        """Work for a searcher that leaves.
+    def test_drain_in_an_answer_applies_at_once(self):
+        """Guards against attempts on a searcher that shuts down.
 
-        Symptom: attempts fail at a searcher that shut down minutes ago.
-        Sequence: the searcher drains; this entry is cut off from the others
-        and hears no announcement; attempts go on.
-        Cause: only announcements are listened to.
+        The searcher drains while this entry instance is partitioned and gets
+        no announcements. The state in the searcher's answers must be used too.
         """
         driver = Driver(searchers={"a": (0, 1)})
         driver.ask()
--- a/tests/test_query/test_state_machine.py
+++ b/tests/test_query/test_state_machine.py
@@ -1,4 +1,4 @@
-"""Hypothesis: any order of faults, and what must hold through all of them."""
+"""Property test: invariants of the query decider under any order of faults."""
 
 from __future__ import annotations
 
