--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -254,7 +254,7 @@
     Mutant(
         "announcements: silence",
         "membership/wards.py",
-        "    _lose(state, key)\n    return None",
+        "    _mark_lost(state, key)\n    return None",
         "    return None",
         (MEMBERSHIP + "test_announcements.py::TestSilence",),
     ),
@@ -268,7 +268,7 @@
     Mutant(
         "cuts: a guardian overrules lost",
         "membership/wards.py",
-        "        _refute(state, row)\n",
+        "        _overrule_loss(state, row)\n",
         "        pass\n",
         (
             MEMBERSHIP + "test_cuts.py",
@@ -285,7 +285,7 @@
     Mutant(
         "drain is final within an incarnation",
         "membership/table.py",
-        "    if drained and same and opens:",
+        "    if is_draining and same_incarnation and accepts_work:",
         "    if False:",
         (MEMBERSHIP + "test_announcements.py::TestDrain",),
     ),
@@ -299,7 +299,7 @@
     Mutant(
         "connection caps: share lease",
         "membership/documents.py",
-        "    may_hold = state.confirmed and unheard < SHARE_LEASE_S",
+        "    may_hold = state.confirmed and unconfirmed_s < SHARE_LEASE_S",
         "    may_hold = state.confirmed",
         (MEMBERSHIP + "test_shares.py",),
     ),
--- a/greengagemoor/membership/__init__.py
+++ b/greengagemoor/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions on soft state shared between many instances."""
+"""Membership: soft state that all instances share, decided without I/O."""
--- a/greengagemoor/membership/addresses.py
+++ b/greengagemoor/membership/addresses.py
@@ -1,4 +1,4 @@
-"""Which entries the callers of a service are told to use."""
+"""Selects the entries that the callers of a service should use."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
     from greengagemoor.membership.rows import InstanceRow
     from greengagemoor.membership.state import State
 
-DEFAULT_ENTRIES = 2
+DEFAULT_ENTRIES_PER_SERVICE = 2
 
-# Worse states are used only when no entry is in a better one: a caller with
-# no address at all is worse off than one with a doubtful address.
-_PREFERENCE = (
+# Best first. Worse states are used only when no entry is in a better one: a
+# caller without any address is worse off than one with a doubtful address.
+_STATES_BY_PREFERENCE = (
     (InstanceState.READY,),
     (InstanceState.OVERLOADED,),
     (InstanceState.STARTING, InstanceState.SUSPECT),
@@ -25,7 +25,7 @@
 
 
 def take(state: State, msg: AskAddresses) -> None:
-    """Answers with the entries of a service, best first."""
+    """Replies with the entries of a service, the wanted data centre first."""
     chosen = choose(state, msg.service)
     if msg.data_centre:
         chosen.sort(key=lambda row: row.data_centre != msg.data_centre)
@@ -44,10 +44,11 @@
 
 
 def choose(state: State, service: str) -> list[InstanceRow]:
-    """Returns the service's entries by rendezvous, spread over data centres.
+    """Selects entries by rendezvous hashing, spread over data centres.
 
-    Few entries for each service keep the connections of its searchers few
-    and their reuse high, and bring equal queries together.
+    Using few entries per service keeps the number of connections to its
+    searchers low and their reuse high, and routes equal queries to the same
+    entries.
     """
     candidates = _candidates(state)
     ranked = sorted(
@@ -55,12 +56,14 @@
         key=lambda row: rendezvous_weight(service, row.name),
         reverse=True,
     )
-    count = _entries_wanted(state, service)
+    count = _entry_count(state, service)
     chosen: list[InstanceRow] = []
     while ranked and len(chosen) < count:
-        used = {row.data_centre for row in chosen}
-        fresh = (row for row in ranked if row.data_centre not in used)
-        row = next(fresh, ranked[0])
+        used_data_centres = {row.data_centre for row in chosen}
+        in_unused = (
+            row for row in ranked if row.data_centre not in used_data_centres
+        )
+        row = next(in_unused, ranked[0])
         chosen.append(row)
         ranked.remove(row)
     return chosen
@@ -72,13 +75,13 @@
         for row in state.table.live_instances.values()
         if "entry" in row.roles
     ]
-    for states in _PREFERENCE:
-        fitting = [row for row in entries if row.state in states]
-        if fitting:
-            return fitting
+    for states in _STATES_BY_PREFERENCE:
+        matching = [row for row in entries if row.state in states]
+        if matching:
+            return matching
     return []
 
 
-def _entries_wanted(state: State, service: str) -> int:
+def _entry_count(state: State, service: str) -> int:
     rules = state.document.service(service) if state.document else None
-    return rules.entries_per_service if rules else DEFAULT_ENTRIES
+    return rules.entries_per_service if rules else DEFAULT_ENTRIES_PER_SERVICE
--- a/greengagemoor/membership/announcements.py
+++ b/greengagemoor/membership/announcements.py
@@ -1,4 +1,4 @@
-"""Takes in what backend servers say of themselves."""
+"""Validates and merges the announcements of backend servers."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 
 def take(state: State, msg: Announce) -> None:
-    """Takes in an announcement, or refuses it with a code."""
-    server = _coarse(msg.server)
+    """Merges an announcement, or rejects it with a result code."""
+    server = _round_load(msg.server)
     row = ServerRow(server)
     kept = state.table.rows.get(row.key)
-    fault = _check(state, server, kept)
-    if fault is not None:
+    rejection = _check(state, server, kept)
+    if rejection is not None:
         state.counters.refused += 1
-        _reply(state, msg, fault.code, fault.detail)
+        _reply(state, msg, rejection.code, rejection.detail)
         return
-    heard = _note_life(state, row, msg.renewal)
+    is_new = _record_renewal(state, row, msg.renewal)
     if kept is None or kept.server.order != server.order:
         state.take_row(row)
-    elif kept.lost and heard:
+    elif kept.lost and is_new:
         state.take_row(attrs.evolve(kept, watch=kept.watch + 1, lost=False))
     elif kept.lost:
         stale = "a copy of an old announcement of a lost server"
@@ -43,65 +43,66 @@
     _reply(state, msg, Code.ANNOUNCED, "")
 
 
-def _note_life(state: State, row: ServerRow, renewal: int) -> bool:
-    """Notes a sign of life where this process watches; returns if it is new."""
-    mine = state.me.name in row.server.announced_to
-    if not mine or row.server.state is ServerState.GONE:
+def _record_renewal(state: State, row: ServerRow, renewal: int) -> bool:
+    """Records a renewal of a watched server; returns whether it is new."""
+    is_watched_here = state.me.name in row.server.announced_to
+    if not is_watched_here or row.server.state is ServerState.GONE:
         return False
     return wards.heard(state, row.key, renewal)
 
 
-def _coarse(server: BackendServer) -> BackendServer:
-    """Rounds the reported load, which is a hint and changes all the time."""
+def _round_load(server: BackendServer) -> BackendServer:
+    """Rounds the reported load: it is a hint that changes all the time."""
     load = round(server.load * LOAD_STEPS) / LOAD_STEPS
     return attrs.evolve(server, load=load)
 
 
 @attrs.frozen
-class _Fault:
+class _Rejection:
     code: Code
     detail: str
 
 
 def _check(
     state: State, server: BackendServer, kept: ServerRow | None
-) -> _Fault | None:
+) -> _Rejection | None:
     if state.document is None:
-        return _Fault(Code.ANNOUNCEMENT_NOT_ALLOWED, "no document yet")
+        return _Rejection(Code.ANNOUNCEMENT_NOT_ALLOWED, "no document yet")
     if server.name not in state.allowed.get(server.service, {}):
-        return _Fault(
+        return _Rejection(
             Code.ANNOUNCEMENT_NOT_ALLOWED,
             f"the document does not allow {server.name} for {server.service}",
         )
-    conflict = _count_conflict(state, server)
+    conflict = _shard_count_conflict(state, server)
     if conflict:
-        return _Fault(Code.ANNOUNCEMENT_CONFLICT, conflict)
+        return _Rejection(Code.ANNOUNCEMENT_CONFLICT, conflict)
     if kept is not None and _is_stale(server, kept):
         stale = "a newer announcement is known"
-        return _Fault(Code.ANNOUNCEMENT_STALE, stale)
+        return _Rejection(Code.ANNOUNCEMENT_STALE, stale)
     return None
 
 
 def _is_stale(server: BackendServer, kept: ServerRow) -> bool:
-    """Whether an announcement is older, or other words at the same order.
+    """Returns whether an announcement is older, or differs at the same order.
 
-    A plain renewal repeats the row and is welcome. A load alone may change
-    without a new sequence: it is a hint, and not worth a message to all.
-    Where the row is kept as draining, a renewal that still says ready is one.
+    A renewal repeats the kept row and is accepted. The load may change
+    without a new sequence: it is a hint, and not worth a message to every
+    instance. If the row is kept as draining, an announcement that still says
+    ready counts as a renewal, too.
     """
     if server.order != kept.server.order:
         return server.order < kept.server.order
-    drained = kept.server.state is ServerState.DRAINING
-    opens = server.state in (ServerState.READY, ServerState.WARMING)
-    state = kept.server.state if drained and opens else server.state
+    is_draining = kept.server.state is ServerState.DRAINING
+    accepts_work = server.state in (ServerState.READY, ServerState.WARMING)
+    state = kept.server.state if is_draining and accepts_work else server.state
     renewed = attrs.evolve(server, load=kept.server.load, state=state)
     return renewed != kept.server
 
 
-def _count_conflict(state: State, server: BackendServer) -> str:
-    """Returns how the shard counts clash with what others hold, or ''."""
+def _shard_count_conflict(state: State, server: BackendServer) -> str:
+    """Returns a shard count conflict with another server as text, or ''."""
     counts = {held.version: held.shard_count for held in server.versions}
-    clashes = (
+    conflicts = (
         f"version {held.version} has {held.shard_count} shards at "
         f"{row.server.name}, not {counts[held.version]}"
         for row in state.table.servers_of(server.service)
@@ -109,7 +110,7 @@
         for held in row.server.versions
         if counts.get(held.version, held.shard_count) != held.shard_count
     )
-    return next(clashes, "")
+    return next(conflicts, "")
 
 
 def _reply(state: State, msg: Announce, code: Code, detail: str) -> None:
@@ -120,12 +121,12 @@
 
 
 def take_drain(state: State, msg: DrainSeen) -> None:
-    """Spreads a drain that an answer of the server told."""
+    """Records a drain that a server reported in an answer."""
     row = state.table.rows.get(server_key(msg.service, msg.name))
     if not isinstance(row, ServerRow):
         return
-    opens = (ServerState.READY, ServerState.WARMING)
-    same = row.server.incarnation == msg.incarnation
-    if same and row.server.state in opens:
-        drained = attrs.evolve(row.server, state=ServerState.DRAINING)
-        state.take_row(attrs.evolve(row, server=drained))
+    accepting_states = (ServerState.READY, ServerState.WARMING)
+    same_incarnation = row.server.incarnation == msg.incarnation
+    if same_incarnation and row.server.state in accepting_states:
+        draining = attrs.evolve(row.server, state=ServerState.DRAINING)
+        state.take_row(attrs.evolve(row, server=draining))
--- a/greengagemoor/membership/decider.py
+++ b/greengagemoor/membership/decider.py
@@ -1,4 +1,4 @@
-"""The membership decider: soft state shared by all processes of ours."""
+"""The membership decider: soft state shared by all instances."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 class MembershipDecider:
-    """Announcements, liveness, addresses, shares and the document's spread.
+    """Decides on announcements, liveness, addresses, shares and the document.
 
-    Systems run in a fixed order each tick: receive, probe, suspect, watch,
-    freshness, own state, changes. A tick costs time in what changed; a round
+    A tick runs its steps in a fixed order: receive, probe, suspect, watch,
+    freshness, own state, changes. Its cost depends on what changed; a round
     costs one probe whatever the size of the fleet.
     """
 
@@ -41,12 +41,12 @@
         rng: random.Random,
         timing: Timing | None = None,
     ):
-        """Starts knowing only itself.
+        """Starts with the own row only.
 
         Args:
             me: the own row; its state is set by the decider.
             seeds: peer addresses of other instances, by name.
-            rng: seeded source for the choice of peers.
+            rng: seeded random generator for the selection of peers.
             timing: intervals, or None for the defaults.
         """
         others = {k: v for k, v in seeds.items() if k != me.name}
@@ -54,7 +54,7 @@
         self.state.take_row(me)
 
     def step(self, now: float, msgs: Iterable[object]) -> list:
-        """Runs one tick over messages of this package."""
+        """Handles messages in one tick; returns the messages to pass on."""
         state = self.state
         state.now = max(now, state.now)
         state.out = []
@@ -71,11 +71,11 @@
         return state.out
 
     def next_wake(self) -> float:
-        """Returns when the next round or watch is due."""
+        """Returns the time when the next round or silence timer is due."""
         state = self.state
         timers = state.ward_timers
-        watch = timers[0][0] if timers else state.round_at
-        return min(state.round_at, watch)
+        next_timer = timers[0][0] if timers else state.round_at
+        return min(state.round_at, next_timer)
 
     def _receive(self, msg: object) -> None:
         if isinstance(msg, Received):
@@ -93,23 +93,23 @@
 
 
 def _leave(state: State, _: m.Leave) -> None:
-    """Leaves the addresses, and spreads it ahead of the next rounds."""
+    """Withdraws from the addresses; notifies some peers without delay."""
     state.leaving = True
     state.set_me(state=InstanceState.LEAVING)
-    _tell_several(state)
+    _notify_some_peers(state)
 
 
 def _stop(state: State, _: m.Stop) -> None:
     state.set_me(state=InstanceState.GONE)
-    _tell_several(state)
+    _notify_some_peers(state)
 
 
-URGENT_PEERS = 4
+LEAVE_NOTICE_PEERS = 4
 
 
-def _tell_several(state: State) -> None:
+def _notify_some_peers(state: State) -> None:
     others = [n for n in state.table.live_instances if n != state.me.name]
-    count = min(URGENT_PEERS, len(others))
+    count = min(LEAVE_NOTICE_PEERS, len(others))
     for name in state.rng.sample(others, count):
         gossip.probe(state, name)
 
--- a/greengagemoor/membership/documents.py
+++ b/greengagemoor/membership/documents.py
@@ -1,4 +1,4 @@
-"""Spreads the accepted document and how fresh it is."""
+"""Distributes the accepted document and the freshness of its version."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def hear(state: State, sender: str, version: int, fresh: Freshness) -> None:
-    """Takes in how new a peer's document is, and asks for a newer one."""
+    """Records a peer's freshness, and requests its document if newer."""
     _take_freshness(state, fresh)
     asked_lately = state.now - state.asked_document_at < state.timing.interval
     if version > state.document_version and not asked_lately:
@@ -36,7 +36,7 @@
 
 def _take_freshness(state: State, fresh: Freshness) -> None:
     if not fresh.group or fresh.group != (state.fresh.group or fresh.group):
-        # Another group's word: an instance that lost its disk and founded a
+        # From another group: an instance that lost its disk and founded a
         # group of its own must not make its empty history look current.
         return
     known = (state.fresh.term, state.fresh.round)
@@ -46,13 +46,13 @@
 
 
 def take_confirmed(state: State, msg: Confirmed) -> None:
-    """Takes in a confirmation from the control role of this process."""
+    """Records a confirmation from the control role of this instance."""
     term, round_ = msg.stamp
     _take_freshness(state, Freshness(msg.group, term, round_, msg.version))
 
 
 def take_accepted(state: State, msg: DocumentAccepted) -> None:
-    """Takes in a document from the control group itself."""
+    """Puts a document from the control group in force."""
     put_in_force(state, msg.version, msg.text)
 
 
@@ -66,7 +66,7 @@
 
 
 def take_copy(state: State, _: str, msg: DocumentCopy) -> None:
-    """Takes in a peer's document; only accepted ones are ever sent."""
+    """Puts a peer's document in force; peers send only accepted ones."""
     if msg.version <= state.document_version:
         return
     try:
@@ -79,7 +79,7 @@
 
 
 def put_in_force(state: State, version: int, text: str) -> None:
-    """Puts a document in force if it is newer; never goes back."""
+    """Puts a document in force if its version is newer."""
     if version <= state.document_version:
         return
     try:
@@ -112,20 +112,20 @@
 
 
 def take_read(state: State, msg: CurrentRead) -> None:
-    """Takes in what a quorum confirmed as current after this start."""
+    """Puts in force what a quorum confirmed as current after the start."""
     put_in_force(state, msg.version, msg.text)
     state.read_version = max(state.read_version, msg.version)
     state.read_at = state.now
 
 
 def check_freshness(state: State) -> None:
-    """Tells the query decider when control comes or goes.
+    """Notifies the query decider when control becomes ready or unready.
 
-    Also gives up the connection shares after the share lease: only within it
-    does the control group count this process's names and places.
+    Also gives up the connection shares when the share lease has expired: the
+    control group counts this instance's names and places only within it.
     """
-    unheard = state.now - max(state.fresh_at, state.read_at)
-    may_hold = state.confirmed and unheard < SHARE_LEASE_S
+    unconfirmed_s = state.now - max(state.fresh_at, state.read_at)
+    may_hold = state.confirmed and unconfirmed_s < SHARE_LEASE_S
     if may_hold != state.may_hold_shares:
         state.may_hold_shares = may_hold
         view.show_all(state)
--- a/greengagemoor/membership/gossip.py
+++ b/greengagemoor/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: news travels with probes, and digests find what it missed."""
+"""Anti-entropy: probes carry changed rows, digests find what they missed."""
 
 from __future__ import annotations
 
@@ -26,38 +26,39 @@
     from greengagemoor.membership.rows import Row
     from greengagemoor.membership.state import State
 
-MOST_ROWS = 24
-MOST_BUCKETS = 16
-DIFFERING_ROUNDS = 3
-REMOTE_EXCHANGES = 4.0
-MOST_REMOTE_SHARE = 0.3
-FAR_SHARE = 0.25
-SEED_EVERY = 10
-MOST_LOOKS = 4
-EXTRA_SENDS = 2
+MAX_ROWS_PER_PROBE = 24
+MAX_BUCKETS_PER_REPLY = 16
+MIN_DIFFERING_ACKS = 3
+# Of all instances of a data centre together.
+REMOTE_PROBES_PER_ROUND = 4.0
+MAX_REMOTE_SHARE = 0.3
+OTHER_REGION_SHARE = 0.25
+LOST_PROBE_EVERY_ROUNDS = 10
+MAX_SUSPICION_PROBES_PER_ROUND = 4
+EXTRA_SENDS_PER_ROW = 2
 
 
 def run_round(state: State) -> None:
-    """Sends one probe a round to a peer, and now and then to a lost one."""
+    """Probes a peer, peers near suspects, and regularly a lost instance."""
     state.round_at = state.now + state.timing.interval
     state.counters.rounds += 1
-    target = _pick_target(state)
+    target = _select_target(state)
     if target:
         probe(state, target)
-    for name in state.look_at[:MOST_LOOKS]:
+    for name in state.look_at[:MAX_SUSPICION_PROBES_PER_ROUND]:
         probe(state, name)
-    del state.look_at[:MOST_LOOKS]
-    if not target or state.counters.rounds % SEED_EVERY == 0:
+    del state.look_at[:MAX_SUSPICION_PROBES_PER_ROUND]
+    if not target or state.counters.rounds % LOST_PROBE_EVERY_ROUNDS == 0:
         _probe_lost(state)
     for key in state.table.forget_gone(state.now - state.timing.tombstone):
         state.wards.pop(key, None)
 
 
-def _pick_target(state: State) -> str | None:
-    """Picks a peer: mostly near ones in turn, few in other data centres.
+def _select_target(state: State) -> str | None:
+    """Selects a peer: local ones in turn, some in other data centres.
 
-    The share of far exchanges falls with the size of the data centre, so
-    that a change crosses a slow link a few times a round and not once a node.
+    The share of remote probes falls with the size of the data centre, so that
+    a change crosses a slow link a few times per round, not once per instance.
     """
     if len(state.table.live_instances) < 2:
         return None
@@ -65,30 +66,34 @@
         remote = _remote_peers(state)
         if remote:
             return state.rng.choice(remote)
-    return _next_in_turn(state)
+    return _next_local_peer(state)
 
 
 def _remote_share(state: State) -> float:
-    near = state.table.by_data_centre.get(state.me.data_centre, ())
-    return min(MOST_REMOTE_SHARE, REMOTE_EXCHANGES / max(1, len(near)))
+    local = state.table.by_data_centre.get(state.me.data_centre, ())
+    return min(MAX_REMOTE_SHARE, REMOTE_PROBES_PER_ROUND / max(1, len(local)))
 
 
 def _remote_peers(state: State) -> list[str]:
-    far = state.rng.random() < FAR_SHARE
+    other_region = state.rng.random() < OTHER_REGION_SHARE
     others = [
         row
         for row in state.table.live_instances.values()
         if row.data_centre != state.me.data_centre
     ]
-    wanted = [r.name for r in others if (r.region != state.me.region) == far]
+    wanted = [
+        peer.name
+        for peer in others
+        if (peer.region != state.me.region) == other_region
+    ]
     return wanted or [row.name for row in others]
 
 
-def _next_in_turn(state: State) -> str | None:
-    """Goes through all near peers in random order: none is probed late."""
+def _next_local_peer(state: State) -> str | None:
+    """Returns local peers in shuffled cycles, so that none waits long."""
     while True:
         if not state.targets:
-            state.targets = _turn(state)
+            state.targets = _shuffled_peers(state)
             if not state.targets:
                 return None
         name = state.targets.pop()
@@ -96,19 +101,19 @@
             return name
 
 
-def _turn(state: State) -> list[str]:
+def _shuffled_peers(state: State) -> list[str]:
     table, me = state.table, {state.me.name}
-    near = set(table.by_data_centre.get(state.me.data_centre, ())) - me
-    names = sorted(near or set(table.live_instances) - me)
+    local = set(table.by_data_centre.get(state.me.data_centre, ())) - me
+    names = sorted(local or set(table.live_instances) - me)
     state.rng.shuffle(names)
     return names
 
 
 def _probe_lost(state: State) -> None:
-    """Probes a seed or an instance held for gone.
+    """Probes a seed or an instance that is marked as gone.
 
-    After a long cut both sides hold each other for gone and no live peer
-    connects them; without this they would never meet again.
+    After a long network partition, each side has marked the other as gone and
+    no live peer connects them; without this probe they would never merge.
     """
     gone = [
         key.removeprefix("i:")
@@ -124,7 +129,7 @@
 def probe(
     state: State, target: str, relay_for: str = "", relay_number: int = 0
 ) -> None:
-    """Sends a probe with the hottest news."""
+    """Sends a probe with the changed rows that were sent least often."""
     number = state.next_probe
     state.next_probe += 1
     if not relay_for:
@@ -134,35 +139,39 @@
         root=state.table.root,
         document_version=state.document_version,
         fresh=state.fresh,
-        rows=_news_for(state, target),
+        rows=_rows_for(state, target),
         relay_for=relay_for,
         relay_number=relay_number,
     )
     state.send(target, message)
 
 
-def _news_for(state: State, target: str) -> Rows:
-    """Takes the rows sent least often, and what the target must refute."""
-    most_sends = _sends_each(state)
-    keys = sorted(state.hot, key=state.hot.__getitem__)[:MOST_ROWS]
+def _rows_for(state: State, target: str) -> Rows:
+    """Returns the rows sent least often, and what the target must refute."""
+    max_sends = _max_sends(state)
+    keys = sorted(state.hot, key=state.hot.__getitem__)[:MAX_ROWS_PER_PROBE]
     for key in keys:
         state.hot[key] += 1
-        if state.hot[key] >= most_sends:
+        if state.hot[key] >= max_sends:
             del state.hot[key]
     rows = [state.table.rows[key] for key in keys if key in state.table.rows]
-    about = state.table.rows.get(f"i:{target}")
-    doubted = (InstanceState.SUSPECT, InstanceState.GONE)
-    if about is not None and about.state in doubted and about not in rows:
-        rows.append(about)
-    return _pack(rows)
-
-
-def _sends_each(state: State) -> int:
+    target_row = state.table.rows.get(f"i:{target}")
+    refutable_states = (InstanceState.SUSPECT, InstanceState.GONE)
+    if (
+        target_row is not None
+        and target_row.state in refutable_states
+        and target_row not in rows
+    ):
+        rows.append(target_row)
+    return _to_rows(rows)
+
+
+def _max_sends(state: State) -> int:
     count = len(state.table.live_instances) + 1
-    return math.ceil(math.log2(count + 1)) + EXTRA_SENDS
+    return math.ceil(math.log2(count + 1)) + EXTRA_SENDS_PER_ROW
 
 
-def _pack(rows: Iterable[Row]) -> Rows:
+def _to_rows(rows: Iterable[Row]) -> Rows:
     rows = list(rows)
     return Rows(
         instances=tuple(r for r in rows if isinstance(r, InstanceRow)),
@@ -171,7 +180,7 @@
 
 
 def take_probe(state: State, sender: str, msg: Probe) -> None:
-    """Answers a probe with own news."""
+    """Merges the rows of a probe, and answers with changed rows."""
     take_rows(state, sender, msg.rows)
     documents.hear(state, sender, msg.document_version, msg.fresh)
     ack = Ack(
@@ -179,7 +188,7 @@
         root=state.table.root,
         document_version=state.document_version,
         fresh=state.fresh,
-        rows=_news_for(state, sender),
+        rows=_rows_for(state, sender),
         relay_for=msg.relay_for,
         relay_number=msg.relay_number,
     )
@@ -187,61 +196,63 @@
 
 
 def take_ack(state: State, sender: str, msg: Ack) -> None:
-    """Ends a probe; compares digests when they go on differing."""
+    """Completes a probe; compares digests if the roots keep differing."""
     if msg.relay_for:
         state.send(msg.relay_for, RelayedAck(msg.relay_number))
     state.probes.pop(msg.number, None)
     take_rows(state, sender, msg.rows)
     documents.hear(state, sender, msg.document_version, msg.fresh)
-    _compare_when_stuck(state, sender, msg.root)
+    _compare_if_diverged(state, sender, msg.root)
 
 
-def _compare_when_stuck(state: State, sender: str, root: int) -> None:
-    """Compares tables only when news alone doesn't make them equal.
+def _compare_if_diverged(state: State, sender: str, root: int) -> None:
+    """Compares tables only if changed rows alone do not make them equal.
 
-    While news is under way most roots differ for a few rounds; comparing each
-    time would cost the bytes that news saves.
+    While changes spread, most roots differ for a few rounds; a comparison
+    each time would cost the bytes that sending only changes saves.
     """
     if root == state.table.root:
         state.differing_rounds = 0
         state.caught_up = True
         return
     state.differing_rounds += 1
-    if state.differing_rounds >= DIFFERING_ROUNDS or not state.caught_up:
+    if state.differing_rounds >= MIN_DIFFERING_ACKS or not state.caught_up:
         state.differing_rounds = 0
         state.counters.compared += 1
         state.send(sender, Buckets(state.table.pack_digests()))
 
 
 def take_relay_request(state: State, sender: str, msg: ProbeFor) -> None:
-    """Probes an instance for another that could not reach it."""
+    """Probes an instance on behalf of one that got no answer from it."""
     probe(state, msg.target, relay_for=sender, relay_number=msg.number)
 
 
 def take_relayed_ack(state: State, _: str, msg: RelayedAck) -> None:
-    """Ends a probe whose target answered another instance."""
+    """Completes a probe whose target answered another instance."""
     state.probes.pop(msg.number, None)
 
 
 def take_buckets(state: State, sender: str, msg: Buckets) -> None:
-    """Answers with the keys of the buckets that differ."""
+    """Replies with the keys in the buckets that differ."""
     differing = [
         bucket
         for bucket in state.table.differing(msg.digests)
         if bucket >= msg.start
     ]
-    chosen = tuple(differing[:MOST_BUCKETS])
+    chosen = tuple(differing[:MAX_BUCKETS_PER_REPLY])
     keys = tuple(
         RowKey(key, *row.order)
         for bucket in chosen
         for key, row in state.table.buckets[bucket].items()
     )
-    left = differing[MOST_BUCKETS:]
-    state.send(sender, BucketKeys(chosen, keys, left[0] if left else 0))
+    remaining = differing[MAX_BUCKETS_PER_REPLY:]
+    state.send(
+        sender, BucketKeys(chosen, keys, remaining[0] if remaining else 0)
+    )
 
 
 def take_keys(state: State, sender: str, msg: BucketKeys) -> None:
-    """Sends what the sender lacks, and asks for what it has newer."""
+    """Sends rows that the sender lacks, and requests its newer ones."""
     theirs = {key.key: key.order for key in msg.keys}
     known = state.table.rows
     newer_here = [
@@ -262,7 +273,7 @@
         if key not in known or known[key].order < order
     )
     if newer_here or only_here:
-        state.send(sender, _pack([*newer_here, *only_here]))
+        state.send(sender, _to_rows([*newer_here, *only_here]))
     if wanted:
         state.send(sender, RowsWanted(wanted))
     if msg.next:
@@ -274,22 +285,22 @@
 
 
 def take_rows_alone(state: State, sender: str, msg: Rows) -> None:
-    """Merges rows that came without a probe, as the end of a comparison."""
+    """Merges rows sent without a probe, at the end of a comparison."""
     take_rows(state, sender, msg)
     if state.awaits_last_rows:
         state.caught_up = True
 
 
 def take_wanted(state: State, sender: str, msg: RowsWanted) -> None:
-    """Sends the rows asked for."""
+    """Sends the requested rows."""
     known = state.table.rows
     rows = [known[key] for key in msg.keys if key in known]
     if rows:
-        state.send(sender, _pack(rows))
+        state.send(sender, _to_rows(rows))
 
 
 def take_rows(state: State, _: str, msg: Rows) -> None:
-    """Merges rows, and refutes what is wrong about this process."""
+    """Merges rows, and refutes wrong rows about this instance."""
     for row in (*msg.instances, *msg.servers):
         if row.key == state.me.key:
             liveness.refute(state, row)
--- a/greengagemoor/membership/liveness.py
+++ b/greengagemoor/membership/liveness.py
@@ -1,4 +1,4 @@
-"""Which instances of ours live: probes, helpers, suspicion, refutation."""
+"""Failure detection of instances: probes, relays, suspicion, refutation."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
     from greengagemoor.membership.rows import InstanceRow
     from greengagemoor.membership.state import Probing, State
 
-RELAYS = 2
+RELAY_COUNT = 2
 RELAY_AFTER_ROUNDS = 1.0
 SUSPECT_AFTER_ROUNDS = 3.0
-LEAST_SUSPICION_ROUNDS = 4.0
-LOOK_AROUND = 4
+MIN_SUSPICION_ROUNDS = 4.0
+PROBES_PER_SUSPECT = 4
 
 
 def check_probes(state: State) -> None:
-    """Turns to helpers, then to suspicion, for probes not answered."""
+    """Relays unanswered probes, then marks their targets as suspect."""
     interval = state.timing.interval
     for number, probing in list(state.probes.items()):
         waited = state.now - probing.sent_at
@@ -34,14 +34,14 @@
 
 
 def _ask_relays(state: State, number: int, probing: Probing) -> None:
-    """Asks others to try: a single bad path must not condemn a good peer."""
+    """Asks others to probe: one bad path must not make a peer suspect."""
     probing.relayed = True
-    helpers = [
+    candidates = [
         name
         for name in state.table.live_instances
         if name not in (state.me.name, probing.target)
     ]
-    for name in state.rng.sample(helpers, min(RELAYS, len(helpers))):
+    for name in state.rng.sample(candidates, min(RELAY_COUNT, len(candidates))):
         state.send(name, ProbeFor(probing.target, number))
 
 
@@ -49,57 +49,59 @@
     row = state.table.live_instances.get(name)
     if row is None or row.state is InstanceState.SUSPECT:
         return
-    _say(state, row, InstanceState.SUSPECT)
-    _look_around(state, row)
+    _set_state(state, row, InstanceState.SUSPECT)
+    _schedule_neighbour_probes(state, row)
 
 
-def _look_around(state: State, row: InstanceRow) -> None:
-    """Probes others of the same data centre next.
+def _schedule_neighbour_probes(state: State, row: InstanceRow) -> None:
+    """Schedules probes of other instances in the suspect's data centre.
 
-    Instances of another data centre are probed seldom. When a whole one is
-    lost, finding them one by one takes minutes; one would see callers sent to
-    it long after. Each failed probe leads to a few more, so the search grows
-    with what it finds and costs nothing while all is well.
+    Instances of other data centres are probed seldom. When a whole data
+    centre is lost, finding them one by one would take minutes, while callers
+    are still sent there. Each failed probe leads to a few more, so the search
+    grows with the failures found and costs nothing without any.
     """
-    near = state.table.by_data_centre.get(row.data_centre, {})
-    fresh = [
+    neighbours = state.table.by_data_centre.get(row.data_centre, {})
+    unscheduled = [
         name
-        for name, other in near.items()
+        for name, other in neighbours.items()
         if other.state is not InstanceState.SUSPECT
         and name != state.me.name
         and name not in state.look_at
     ]
-    count = min(LOOK_AROUND, len(fresh))
-    state.look_at.extend(state.rng.sample(fresh, count))
+    count = min(PROBES_PER_SUSPECT, len(unscheduled))
+    state.look_at.extend(state.rng.sample(unscheduled, count))
 
 
-def _say(state: State, row: InstanceRow, new_state: InstanceState) -> None:
+def _set_state(
+    state: State, row: InstanceRow, new_state: InstanceState
+) -> None:
     state.take_row(attrs.evolve(row, state=new_state))
 
 
 def check_suspects(state: State) -> None:
-    """Holds suspects for gone when they did not refute in time."""
+    """Marks suspects as gone that did not refute in time."""
     for name, until in list(state.suspects.items()):
         row = state.table.live_instances.get(name)
         if row is None or row.state is not InstanceState.SUSPECT:
             del state.suspects[name]
         elif state.now >= until:
             del state.suspects[name]
-            _say(state, row, InstanceState.GONE)
+            _set_state(state, row, InstanceState.GONE)
 
 
 def watch_suspect(state: State, row: InstanceRow) -> None:
-    """Starts the time in which a suspect may refute."""
+    """Starts the period in which a suspect may refute."""
     rounds = math.log2(len(state.table.live_instances) + 1)
-    rounds = max(LEAST_SUSPICION_ROUNDS, rounds)
+    rounds = max(MIN_SUSPICION_ROUNDS, rounds)
     state.suspects[row.name] = state.now + rounds * state.timing.interval
 
 
 def refute(state: State, row: InstanceRow) -> None:
-    """Overrules a word about this process that it did not say itself.
+    """Overrules a newer row about this instance that it did not send.
 
-    A process that starts again with its clock set back would stay below its
-    own old row for ever; it takes an incarnation above what others know.
+    An instance that restarts with its clock set back would stay below its own
+    old row forever; it takes an incarnation above the one that others hold.
     """
     if row.order <= state.me.order:
         return
--- a/greengagemoor/membership/messages.py
+++ b/greengagemoor/membership/messages.py
@@ -8,12 +8,12 @@
 from greengagemoor.codes import Code
 from greengagemoor.membership.rows import InstanceRow, ServerRow
 
-# Between processes of ours (wire/peers.proto).
+# Between instances (wire/peers.proto).
 
 
 @attrs.frozen
 class Freshness:
-    """The newest confirmation by the control group that a process knows.
+    """The newest confirmation by the control group that is known here.
 
     Attributes:
         group: the control group that confirmed.
@@ -38,12 +38,12 @@
 
 @attrs.frozen
 class Exchange:
-    """What both sides of a probe tell each other.
+    """The fields that a probe and its answer share.
 
     Attributes:
         number: the prober's number of this exchange.
         root: digest over all live rows.
-        document_version: what the sender has in force.
+        document_version: version that the sender has in force.
         relay_for: instance that asked for this probe, or ''.
         relay_number: that instance's probe number.
     """
@@ -64,7 +64,7 @@
 
 @attrs.frozen
 class Ack(Exchange):
-    """Answers a ``Probe``, with the answerer's news."""
+    """Answers a ``Probe``, with changed rows."""
 
 
 @attrs.frozen
@@ -77,7 +77,7 @@
 
 @attrs.frozen
 class RelayedAck:
-    """Tells that the target of a ``ProbeFor`` answered."""
+    """Reports that the target of a ``ProbeFor`` answered."""
 
     number: int
 
@@ -115,7 +115,7 @@
     """The keys of the sender's rows in some buckets.
 
     Attributes:
-        next: bucket from which more differ; 0 when these were the last.
+        next: the next bucket that differs; 0 if there is none.
     """
 
     buckets: tuple[int, ...]
@@ -147,7 +147,7 @@
 
 @attrs.frozen
 class HeardQuery:
-    """Asks another instance whether it still hears a backend server."""
+    """Asks another watcher whether it still receives a server's renewals."""
 
     key: str
 
@@ -169,7 +169,7 @@
 
     Attributes:
         renewal: grows with each sending, so that a copy of an old one does
-            not count as a sign of life.
+            not count as a heartbeat.
     """
 
     token: int
@@ -179,11 +179,11 @@
 
 @attrs.frozen
 class AnnounceReply:
-    """What became of an announcement.
+    """Result of an announcement.
 
     Attributes:
         incarnation: with ``sequence``, the newest order known; a server that
-            was refused as stale announces a higher one.
+            was rejected as stale announces a higher one.
     """
 
     token: int
@@ -195,7 +195,7 @@
 
 @attrs.frozen
 class AskAddresses:
-    """Which entries should a caller of this service use?"""
+    """Asks which entries the callers of a service should use."""
 
     token: int
     service: str
@@ -213,7 +213,7 @@
 
 @attrs.frozen
 class Addresses:
-    """Entries in order of preference, and how long to keep them."""
+    """Entries in order of preference, and how long they are valid."""
 
     token: int
     service: str
@@ -223,17 +223,17 @@
 
 @attrs.frozen
 class Leave:
-    """This process shuts down: leave the addresses."""
+    """Withdraws this instance from the addresses as it shuts down."""
 
 
 @attrs.frozen
 class Stop:
-    """This process ends now: say that it is gone."""
+    """Notifies peers that this instance is gone, as it ends now."""
 
 
 @attrs.frozen
 class Overload:
-    """This entry refuses requests for load, or no longer does."""
+    """Whether this entry rejects requests because of overload."""
 
     active: bool
 
@@ -243,7 +243,7 @@
     """A quorum confirmed this document as current.
 
     Attributes:
-        text: empty when this process has that version.
+        text: empty if this instance has that version.
     """
 
     version: int
--- a/greengagemoor/membership/rows.py
+++ b/greengagemoor/membership/rows.py
@@ -12,7 +12,7 @@
 
 
 class InstanceState(enum.Enum):
-    """Life of an instance of ours, as others see it."""
+    """Lifecycle state of an instance, as other instances see it."""
 
     STARTING = "starting"
     READY = "ready"
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class InstanceRow:
-    """One process of ours.
+    """One instance.
 
     Attributes:
         incarnation: raised at each start.
@@ -52,10 +52,10 @@
 
     @property
     def order(self) -> tuple[int, int, int, int]:
-        """Later words about the same instance compare greater.
+        """Sort key: later rows of the same instance compare greater.
 
-        At an equal sequence, suspicion wins over life and an end over both:
-        only the instance itself can refute it, with a higher sequence.
+        At an equal sequence, suspect wins over the live states and gone over
+        all: only the instance itself can refute, with a higher sequence.
         """
         return (
             self.incarnation,
@@ -66,7 +66,7 @@
 
     @property
     def is_gone(self) -> bool:
-        """Whether the row is only kept so that the instance stays gone."""
+        """Whether the row is a tombstone, kept to reject older rows."""
         return self.state is InstanceState.GONE
 
 
@@ -75,10 +75,10 @@
     """One backend server.
 
     Attributes:
-        server: its own last words.
-        watch: raised by whoever watches over it and overrules another watcher;
-            a new word of the server itself overrules all of them.
-        lost: whether its watchers no longer hear it.
+        server: its latest announcement.
+        watch: raised by a watching instance that overrules another one; a new
+            announcement of the server itself overrules all of them.
+        lost: whether its watchers no longer receive its renewals.
     """
 
     server: BackendServer
@@ -92,17 +92,17 @@
 
     @property
     def order(self) -> tuple[int, int, int, int]:
-        """Later words about the same server compare greater.
+        """Sort key: later rows of the same server compare greater.
 
         At an equal sequence, draining wins over ready and gone over both, so
-        that a doubled or late announcement can't bring a server back.
+        that a duplicate or late announcement cannot bring a server back.
         """
         rank = 2 * _SERVER_RANK[self.server.state] + self.lost
         return (*self.server.order, self.watch, rank)
 
     @property
     def is_gone(self) -> bool:
-        """Whether the row is only kept so that the server stays gone."""
+        """Whether the row is a tombstone, kept to reject older rows."""
         return self.lost or self.server.state is ServerState.GONE
 
 
@@ -115,7 +115,7 @@
 
 
 def hash64(text: str) -> int:
-    """Returns 64 bits that are equal in every process for equal text."""
+    """Returns a 64-bit hash that is the same in every process."""
     digest = hashlib.blake2b(text.encode(), digest_size=8).digest()
     return int.from_bytes(digest)
 
@@ -124,6 +124,6 @@
 def rendezvous_weight(key: str, candidate: str) -> int:
     """Returns the weight of a candidate for a key; the highest wins.
 
-    When a candidate comes or goes, only the keys it wins change hands.
+    When a candidate is added or removed, only the keys that it wins move.
     """
     return hash64(f"{key}\0{candidate}")
--- a/greengagemoor/membership/state.py
+++ b/greengagemoor/membership/state.py
@@ -1,4 +1,4 @@
-"""State of the membership decider that its systems share."""
+"""State that the modules of the membership decider share."""
 
 from __future__ import annotations
 
@@ -20,7 +20,15 @@
 
 @attrs.frozen
 class Timing:
-    """Intervals in seconds; the first one scales the detection of loss."""
+    """Intervals in seconds.
+
+    Attributes:
+        interval: length of a round; failure detection scales with it.
+        addresses_valid: how long callers may use the addresses received.
+        control_silent: time without a confirmation by the control group after
+            which control is not ready.
+        tombstone: how long the rows of gone instances and servers are kept.
+    """
 
     interval: float = 0.5
     addresses_valid: float = 5.0
@@ -30,7 +38,7 @@
 
 @attrs.define
 class Probing:
-    """A probe that has not been answered."""
+    """An unanswered probe."""
 
     target: str
     sent_at: float
@@ -39,12 +47,14 @@
 
 @attrs.define
 class Ward:
-    """A backend server whose silence this process watches for.
+    """A backend server whose renewals this instance monitors.
 
     Attributes:
-        renewal: newest one heard; kept after a loss, so that a copy of an old
-            announcement does not bring the server back.
-        timed: whether a timer is set; none is for a lost server.
+        heard_at: time from which its silence is measured.
+        renewal: newest one received; kept after a loss, so that a copy of an
+            old announcement does not bring the server back.
+        timed: whether a timer is set; a lost server has none.
+        asked_at: time at which the other watchers were asked, or None.
     """
 
     heard_at: float
@@ -55,7 +65,7 @@
 
 @attrs.define
 class Counters:
-    """Totals for metrics and slopes."""
+    """Totals for metrics and cost measurements."""
 
     rounds: int = 0
     compared: int = 0
@@ -66,7 +76,20 @@
 
 @attrs.define(eq=False)
 class State:
-    """Tables, clock, randomness and output of one tick."""
+    """Table, clock, random generator and output of one tick.
+
+    Attributes:
+        hot: keys of changed rows, each with the number of its sends so far.
+        changed: rows that changed in this tick.
+        targets: peers still to probe in the current cycle.
+        look_at: peers to probe in the next rounds, near a suspect.
+        suspects: for each suspect, the time at which it is marked as gone.
+        wards: servers that this instance watches, by key.
+        orphans: for each server without live watchers, the time to hide it.
+        hidden: keys of servers that are hidden from this instance's queries.
+        read_version: version that a quorum confirmed since the start.
+        shown: what the query decider was last notified of, by key.
+    """
 
     me: InstanceRow
     seeds: dict[str, str]
@@ -111,11 +134,11 @@
 
     @property
     def confirmed(self) -> bool:
-        """Whether this process has caught up with a quorum since its start."""
+        """Whether this instance has caught up with a quorum since its start."""
         return 0 <= self.read_version <= self.document_version
 
     def send(self, name: str, payload: object) -> None:
-        """Sends to another process of ours."""
+        """Sends to another instance."""
         row = self.table.rows.get(f"i:{name}")
         address = row.peer_address if isinstance(row, InstanceRow) else ""
         self.out.append(
@@ -123,7 +146,7 @@
         )
 
     def take_row(self, row: Row) -> Row | None:
-        """Merges a row; a change is passed on in the next exchanges."""
+        """Merges a row; the next probes carry it if it is a change."""
         kept = self.table.merge(row, self.now)
         if kept is not None:
             self.counters.rows_taken += 1
@@ -132,7 +155,7 @@
         return kept
 
     def set_me(self, **changes) -> None:
-        """Changes the own row and spreads it."""
+        """Changes the own row; the next probes carry it."""
         self.me = attrs.evolve(
             self.me, sequence=self.me.sequence + 1, **changes
         )
@@ -140,14 +163,14 @@
 
     @property
     def own_state(self) -> InstanceState:
-        """What this process should say of itself now."""
+        """The state that this instance should announce now."""
         if self.leaving:
             return InstanceState.LEAVING
         if not self.confirmed or not self._is_listed():
             return InstanceState.STARTING
         if not self.caught_up and (self.seeds or self._has_peers):
-            # Callers who are sent here before the table is learnt would be
-            # told that no backend server holds anything.
+            # Before the table is complete, this entry would reject queries
+            # because no backend server appears to hold anything.
             return InstanceState.STARTING
         if self.overloaded:
             return InstanceState.OVERLOADED
--- a/greengagemoor/membership/table.py
+++ b/greengagemoor/membership/table.py
@@ -1,4 +1,4 @@
-"""The table of rows, with digests that are kept up as rows change."""
+"""The table of rows, with digests that are updated as rows change."""
 
 from __future__ import annotations
 
@@ -22,36 +22,39 @@
 
     from greengagemoor.membership.rows import Row
 
-BUCKETS = 256
-_DIGEST_BITS = 0xFFFFFFFF
+BUCKET_COUNT = 256
+_BUCKET_DIGEST_MASK = 0xFFFFFFFF
 
 
 class Table:
     """All rows of instances and backend servers.
 
-    Digests cover live rows only: gone rows stay to refuse older words, and
-    each process forgets them at its own time without seeming to differ.
+    Digests cover live rows only. Gone rows are kept to reject older ones, and
+    each instance removes them in its own time without digests that differ.
+
+    Attributes:
+        guarded: keys of the servers that announce to an instance, by its name.
     """
 
     def __init__(self):
         self.rows: dict[str, Row] = {}
-        self.buckets: list[dict[str, Row]] = [{} for _ in range(BUCKETS)]
+        self.buckets: list[dict[str, Row]] = [{} for _ in range(BUCKET_COUNT)]
         self.gone_since: dict[str, float] = {}
         self.live_instances: dict[str, InstanceRow] = {}
         self.by_data_centre: dict[str, dict[str, InstanceRow]] = {}
         self.by_role: dict[str, dict[str, InstanceRow]] = {}
         self.guarded: dict[str, set[str]] = {}
         self.by_service: dict[str, dict[str, ServerRow]] = {}
-        self._digests = [0] * BUCKETS
+        self._digests = [0] * BUCKET_COUNT
         self.root = 0
 
     def merge(self, row: Row, now: float) -> Row | None:
-        """Takes in a row if it is newer; returns what is kept, or None."""
+        """Merges a row if it is newer; returns the row kept, or None."""
         kept = self.rows.get(row.key)
         if kept is None and row.is_gone:
             return None
         if kept is not None:
-            row = _keep_drained(kept, row)
+            row = _keep_draining(kept, row)
             if not _is_newer(row, kept):
                 return None
             self._unlink(kept)
@@ -64,7 +67,7 @@
             self.gone_since[row.key] = now
         else:
             self.gone_since.pop(row.key, None)
-            self._flip(row)
+            self._toggle_digest(row)
             self.buckets[bucket_of(row.key)][row.key] = row
             self._index(row)
 
@@ -75,13 +78,13 @@
                 index[row.name] = row
             return
         self.by_service.setdefault(row.server.service, {})[row.key] = row
-        for guardian in row.server.announced_to:
-            self.guarded.setdefault(guardian, set()).add(row.key)
+        for watcher in row.server.announced_to:
+            self.guarded.setdefault(watcher, set()).add(row.key)
 
     def _unlink(self, row: Row) -> None:
         if row.is_gone:
             return
-        self._flip(row)
+        self._toggle_digest(row)
         del self.buckets[bucket_of(row.key)][row.key]
         if isinstance(row, InstanceRow):
             del self.live_instances[row.name]
@@ -89,8 +92,8 @@
                 del index[row.name]
             return
         del self.by_service[row.server.service][row.key]
-        for guardian in row.server.announced_to:
-            self.guarded[guardian].discard(row.key)
+        for watcher in row.server.announced_to:
+            self.guarded[watcher].discard(row.key)
 
     def _instance_indexes(
         self, row: InstanceRow
@@ -99,15 +102,15 @@
         for role in row.roles:
             yield self.by_role.setdefault(role, {})
 
-    def _flip(self, row: Row) -> None:
+    def _toggle_digest(self, row: Row) -> None:
         digest = hash64(f"{row.key}{row.order}")
         index = bucket_of(row.key)
-        self._digests[index] ^= digest & _DIGEST_BITS
+        self._digests[index] ^= digest & _BUCKET_DIGEST_MASK
         self.root ^= digest
 
     def forget_gone(self, before: float) -> list[str]:
-        """Forgets rows that have been gone since before a time."""
-        # Rows enter this table as they go, so the oldest stand first.
+        """Removes rows that went before a time; returns their keys."""
+        # Rows are inserted when they become gone, so the oldest come first.
         old = [
             key
             for key, _ in takewhile(
@@ -121,13 +124,13 @@
 
     def pack_digests(self) -> bytes:
         """Returns the digests of all buckets, four bytes each."""
-        return struct.pack(f">{BUCKETS}I", *self._digests)
+        return struct.pack(f">{BUCKET_COUNT}I", *self._digests)
 
     def differing(self, packed: bytes) -> list[int]:
         """Returns the buckets whose digests differ from a packed list."""
-        if len(packed) != 4 * BUCKETS:
+        if len(packed) != 4 * BUCKET_COUNT:
             return []
-        other = struct.unpack(f">{BUCKETS}I", packed)
+        other = struct.unpack(f">{BUCKET_COUNT}I", packed)
         return [
             index
             for index, (mine, theirs) in enumerate(
@@ -144,33 +147,34 @@
 @lru_cache(maxsize=65536)
 def bucket_of(key: str) -> int:
     """Returns the bucket that a key falls in."""
-    return hash64(key) % BUCKETS
+    return hash64(key) % BUCKET_COUNT
 
 
 def _is_newer(row: Row, kept: Row) -> bool:
     if row.order != kept.order:
         return row.order > kept.order
-    # Two contents at one order come from a fault at the source; every process
-    # must keep the same one, or their tables never get equal.
-    return row != kept and _content(row) > _content(kept)
+    # Two contents at one order come from a fault at the source; all instances
+    # must keep the same one, or their tables never become equal.
+    return row != kept and _content_hash(row) > _content_hash(kept)
 
 
-def _content(row: Row) -> int:
+def _content_hash(row: Row) -> int:
     return hash64(shape.dump_json(row))
 
 
-def _keep_drained(kept: Row, row: Row) -> Row:
+def _keep_draining(kept: Row, row: Row) -> Row:
     """Keeps a draining server draining within its incarnation.
 
-    A ready word may overtake the draining one, or be made by a part of the
-    server that has not heard of it; new work would then reach it again.
+    An announcement of ready may overtake the one of draining, or come from a
+    part of the server that does not yet drain; new work would then reach the
+    server again.
     """
     if not isinstance(kept, ServerRow):
         return row
-    drained = kept.server.state is ServerState.DRAINING
-    same = kept.server.incarnation == row.server.incarnation
-    opens = row.server.state in (ServerState.READY, ServerState.WARMING)
-    if drained and same and opens:
+    is_draining = kept.server.state is ServerState.DRAINING
+    same_incarnation = kept.server.incarnation == row.server.incarnation
+    accepts_work = row.server.state in (ServerState.READY, ServerState.WARMING)
+    if is_draining and same_incarnation and accepts_work:
         server = attrs.evolve(row.server, state=ServerState.DRAINING)
         return attrs.evolve(row, server=server)
     return row
--- a/greengagemoor/membership/view.py
+++ b/greengagemoor/membership/view.py
@@ -1,4 +1,4 @@
-"""What changes for this process when a row or the document changes."""
+"""Notifies the query decider when a row or the document changes."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 
 def note_changes(state: State) -> None:
-    """Passes the rows that changed in this tick on to whoever acts on them."""
+    """Processes the rows that changed in this tick."""
     while state.changed:
-        _note_change(state, state.changed.pop(0))
+        _process_change(state, state.changed.pop(0))
 
 
-def _note_change(state: State, row: Row) -> None:
+def _process_change(state: State, row: Row) -> None:
     if isinstance(row, ServerRow):
         wards.note_row(state, row)
-        # A row that was just overruled here must not be shown first.
+        # note_row may have overruled the row: show the one that is kept now.
         show(state, state.table.rows[row.key])
         return
     if row.state is InstanceState.SUSPECT:
@@ -41,21 +41,21 @@
 
 
 def show(state: State, row: ServerRow) -> None:
-    """Tells the query decider of a server, as the document allows it."""
-    allowed = _allowed_form(state, row)
-    shown = state.shown.get(row.key)
-    if allowed == shown:
+    """Notifies the query decider if its view of a server changes."""
+    current = _usable_server(state, row)
+    previous = state.shown.get(row.key)
+    if current == previous:
         return
-    if allowed is None:
+    if current is None:
         del state.shown[row.key]
         state.out.append(ServerGone(row.server.name, row.server.service))
         return
-    state.shown[row.key] = allowed
-    state.out.append(allowed)
+    state.shown[row.key] = current
+    state.out.append(current)
 
 
-def _allowed_form(state: State, row: ServerRow) -> ServerChanged | None:
-    """Returns the server within the document's limits, and the own share."""
+def _usable_server(state: State, row: ServerRow) -> ServerChanged | None:
+    """Returns a usable server with its limits and the own share, or None."""
     allowed = state.allowed.get(row.server.service, {}).get(row.server.name)
     if allowed is None or row.is_gone or row.key in state.hidden:
         return None
@@ -70,9 +70,9 @@
 def connection_share(state: State, server: BackendServer) -> int:
     """Returns how many connections this entry may hold to a server.
 
-    A fixed part of the cap for each place in the document: no views of who
-    is alive enter into it, so no disagreement between them can make the sum
-    pass the cap. What gives way is the part of the places that stand empty.
+    Each place in the document has a fixed part of the cap. It does not depend
+    on which entries are seen as live, so that entries with different views
+    never exceed the cap in sum. The parts of empty places stay unused.
     """
     listed = state.document and state.me.name in state.document.entries
     if not listed or not state.may_hold_shares:
@@ -81,13 +81,13 @@
 
 
 def hide(state: State, keys: list[str]) -> None:
-    """Tells the query decider of servers that are now hidden here."""
+    """Notifies the query decider of servers that are now hidden."""
     for key in keys:
         show(state, state.table.rows[key])
 
 
 def show_all(state: State) -> None:
-    """Looks at every server again, after a change of the document."""
+    """Evaluates every server again, after a change of the document."""
     rows = [
         row for row in state.table.rows.values() if isinstance(row, ServerRow)
     ]
@@ -96,6 +96,6 @@
 
 
 def show_service(state: State, service: str) -> None:
-    """Looks at the servers of one service again."""
+    """Evaluates the servers of one service again."""
     for row in list(state.table.servers_of(service)):
         show(state, row)
--- a/greengagemoor/membership/wards.py
+++ b/greengagemoor/membership/wards.py
@@ -1,4 +1,7 @@
-"""Watches for silence of the backend servers that announce themselves here."""
+"""Detects silence of the backend servers that announce themselves here.
+
+The watchers of a server are the instances in its ``announced_to``.
+"""
 
 from __future__ import annotations
 
@@ -15,27 +18,27 @@
 if TYPE_CHECKING:
     from greengagemoor.membership.state import State
 
-DEFAULT_SILENT_S = 3.0
-ASK_ROUNDS = 1.0
+DEFAULT_SILENT_AFTER_S = 3.0
+ASK_WAIT_ROUNDS = 1.0
 
 
 def silent_after(state: State) -> float:
     """Returns the seconds after which a silent server is dropped."""
     document = state.document
-    return document.silent_after_s if document else DEFAULT_SILENT_S
+    return document.silent_after_s if document else DEFAULT_SILENT_AFTER_S
 
 
 def heard(state: State, key: str, renewal: int) -> bool:
-    """Notes a sign of life; a copy of an old renewal is none."""
+    """Records a renewal; returns False for a copy of an old one."""
     ward = state.wards.get(key)
     if ward is not None and renewal <= ward.renewal:
         return False
-    ward = _watch(state, key)
+    ward = _restart_silence_timer(state, key)
     ward.renewal = renewal
     return True
 
 
-def _watch(state: State, key: str) -> Ward:
+def _restart_silence_timer(state: State, key: str) -> Ward:
     ward = state.wards.setdefault(key, Ward(heard_at=state.now))
     ward.heard_at = state.now
     ward.asked_at = None
@@ -47,55 +50,55 @@
 
 
 def note_row(state: State, row: ServerRow) -> None:
-    """Starts or ends watching as a server names its guardians.
+    """Starts or ends watching as a server selects its watchers.
 
-    A process that restarted has forgotten whom it watched; the rows that it
-    learns again tell it.
+    An instance that restarted has lost its list of watched servers, and
+    restores it from the rows that it receives.
     """
-    mine = state.me.name in row.server.announced_to
+    is_watched_here = state.me.name in row.server.announced_to
     ward = state.wards.get(row.key)
-    if not mine or row.server.state is ServerState.GONE:
+    if not is_watched_here or row.server.state is ServerState.GONE:
         state.wards.pop(row.key, None)
-    elif row.lost and ward is not None and _heard_lately(state, ward):
-        _refute(state, row)
+    elif row.lost and ward is not None and _heard_recently(state, ward):
+        _overrule_loss(state, row)
     elif not row.lost and (ward is None or not ward.timed):
-        _watch(state, row.key)
+        _restart_silence_timer(state, row.key)
     note_guardians(state, row)
 
 
-def _refute(state: State, row: ServerRow) -> None:
-    """Overrules a watcher that no longer hears a server that we hear.
+def _overrule_loss(state: State, row: ServerRow) -> None:
+    """Overrules a watcher that misses renewals which this instance receives.
 
-    After a cut, the side that lost sight of a server brings its word along;
-    without this every server of the other side would be dropped at the moment
-    the cut heals.
+    When a network partition heals, the side that lost a server sends its row;
+    without this, every server of the other side would be dropped at that
+    moment.
     """
     state.take_row(attrs.evolve(row, watch=row.watch + 1, lost=False))
 
 
-def _heard_lately(state: State, ward: Ward) -> bool:
+def _heard_recently(state: State, ward: Ward) -> bool:
     recent = state.now - ward.heard_at < silent_after(state)
     return ward.renewal >= 0 and recent
 
 
 def note_instance(state: State, name: str) -> None:
-    """Looks at the servers an instance guards when it comes or goes."""
+    """Evaluates the servers that an instance watches when it changes."""
     for key in list(state.table.guarded.get(name, ())):
         note_guardians(state, state.table.rows[key])
 
 
 def note_guardians(state: State, row: ServerRow) -> None:
-    """Hides a server here when none of its guardians is left in view.
+    """Hides a server here when none of its watchers is live.
 
-    A rack that takes servers and their guardians together leaves nobody to
-    notice; one would see attempts go on to servers that are off. What is
-    hidden is a matter of this process alone: a process that is cut off sees
-    all guardians go, and its view must not spread when the cut heals.
+    If servers fail together with all their watchers, as with a rack, no
+    instance detects the silence and attempts to them would go on. Hiding is
+    local to this instance: one that is partitioned off sees all watchers as
+    gone, and its view must not spread when the partition heals.
     """
     live = state.table.live_instances
-    guardians = row.server.announced_to
-    watched = not guardians or any(name in live for name in guardians)
-    if watched or row.is_gone:
+    watchers = row.server.announced_to
+    is_watched = not watchers or any(name in live for name in watchers)
+    if is_watched or row.is_gone:
         state.orphans.pop(row.key, None)
         state.hidden.discard(row.key)
     elif row.key not in state.orphans and row.key not in state.hidden:
@@ -105,7 +108,7 @@
 
 
 def check(state: State) -> list[str]:
-    """Looks at what is due; returns the keys of servers newly hidden."""
+    """Processes due timers; returns the keys of servers newly hidden."""
     timers = state.ward_timers
     newly_hidden = []
     while timers and timers[0][0] <= state.now:
@@ -124,32 +127,32 @@
 
 
 def _check_ward(state: State, key: str, ward: Ward) -> float | None:
-    """Returns when to look again, None when watching is over."""
+    """Returns when to check again, or None when watching is over."""
     due = ward.heard_at + silent_after(state)
     if state.now < due:
         return due
-    wait = ASK_ROUNDS * state.timing.interval
+    wait = ASK_WAIT_ROUNDS * state.timing.interval
     if ward.asked_at is None:
         ward.asked_at = state.now
-        others = _other_guardians(state, key)
+        others = _other_watchers(state, key)
         for name in others:
             state.send(name, HeardQuery(key))
         if others:
             return state.now + wait
     if not _sees_majority(state):
         return state.now + wait
-    _lose(state, key)
+    _mark_lost(state, key)
     return None
 
 
 def _sees_majority(state: State) -> bool:
-    """Whether this process is not itself the one that is cut off."""
+    """Whether this instance is not itself the one that is partitioned off."""
     live = len(state.table.live_instances)
     gone = sum(key.startswith("i:") for key in state.table.gone_since)
     return live >= gone
 
 
-def _other_guardians(state: State, key: str) -> list[str]:
+def _other_watchers(state: State, key: str) -> list[str]:
     row = state.table.rows.get(key)
     if not isinstance(row, ServerRow):
         return []
@@ -161,7 +164,7 @@
     ]
 
 
-def _lose(state: State, key: str) -> None:
+def _mark_lost(state: State, key: str) -> None:
     row = state.table.rows.get(key)
     if not isinstance(row, ServerRow) or row.is_gone:
         return
@@ -170,14 +173,14 @@
 
 
 def take_query(state: State, sender: str, msg: HeardQuery) -> None:
-    """Tells whether this process heard a server lately."""
+    """Replies whether this instance received a renewal recently."""
     ward = state.wards.get(msg.key)
-    heard_lately = ward is not None and _heard_lately(state, ward)
-    state.send(sender, HeardReply(msg.key, heard_lately))
+    heard_recently = ward is not None and _heard_recently(state, ward)
+    state.send(sender, HeardReply(msg.key, heard_recently))
 
 
 def take_reply(state: State, _: str, msg: HeardReply) -> None:
-    """Keeps a server that another guardian still hears."""
+    """Keeps a server whose renewals another watcher still receives."""
     ward = state.wards.get(msg.key)
     if ward is not None and ward.asked_at is not None and msg.heard:
         ward.heard_at = state.now
