--- a/tests/test_membership/helpers.py
+++ b/tests/test_membership/helpers.py
@@ -15,7 +15,11 @@
 
 @attrs.define
 class FakeSearcher:
-    """Announces itself to its guardians until it falls silent."""
+    """A searcher that announces itself to its watchers.
+
+    Attributes:
+        guardians: the entries that watch it.
+    """
 
     fleet: FakeFleet
     name: str
@@ -38,13 +42,13 @@
             announced_to=self.guardians,
             **fields,
         )
-        for guardian in self.guardians:
-            if guardian in self.fleet.nodes:
-                self.fleet.put(guardian, Announce(token, row, self.renewal))
+        for watcher in self.guardians:
+            if watcher in self.fleet.nodes:
+                self.fleet.put(watcher, Announce(token, row, self.renewal))
         return token
 
     def say(self, state: ServerState) -> None:
-        """Changes its state and announces it."""
+        """Changes the state and announces it."""
         self.state = state
         self.sequence += 1
         self.announce()
@@ -58,7 +62,7 @@
 
 
 def start_searchers(fleet: FakeFleet, guardians=("e1", "e2")) -> dict:
-    """Returns announced searchers a, b and c, known everywhere."""
+    """Returns searchers a, b and c, whose rows have reached all entries."""
     searchers = {n: FakeSearcher(fleet, n, guardians) for n in "abc"}
     for searcher in searchers.values():
         searcher.announce()
@@ -67,7 +71,7 @@
 
 
 def run_with_renewals(fleet: FakeFleet, searchers, seconds: float) -> None:
-    """Lets time pass while searchers renew their announcements."""
+    """Runs the fleet while searchers renew their announcements."""
     until = fleet.now + seconds
     while fleet.now < until:
         for searcher in searchers:
@@ -88,5 +92,5 @@
 
 
 def roots(fleet: FakeFleet) -> set[int]:
-    """Returns the different table digests; one when all are equal."""
+    """Returns the distinct table digests; one if all tables are equal."""
     return {n.membership.state.table.root for n in fleet.nodes.values()}
--- a/tests/test_membership/test_addresses.py
+++ b/tests/test_membership/test_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses: few entries for a service, spread, and never none."""
+"""Addresses: few entries per service, spread out, and never an empty list."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def row(number: int, state=InstanceState.READY, sequence=1) -> InstanceRow:
-    """Returns an entry's row; three entries for each data centre."""
+    """Returns an entry's row; entries are spread over three data centres."""
     return InstanceRow(
         name=f"e{number}",
         incarnation=1,
@@ -36,8 +36,8 @@
     )
 
 
-def make_view(count: int = 9):
-    """Returns a membership state that knows some entries."""
+def make_state(count: int = 9):
+    """Returns a membership state with rows of some entries."""
     decider = MembershipDecider(row(0), {}, random.Random(1))
     decider.state.document = parse_document(DOCUMENT)
     for number in range(1, count):
@@ -46,38 +46,41 @@
     return decider.state
 
 
-def table_of(state) -> dict[str, list[str]]:
-    """Returns the entries of each service."""
+def entries_by_service(state) -> dict[str, list[str]]:
+    """Returns the names of the entries, by service."""
     return {s: [r.name for r in choose(state, s)] for s in SERVICES}
 
 
-class TestChoice:
-    """Rendezvous over the entries that are ready."""
+class TestEntrySelection:
+    """Rendezvous hashing over the entries that are ready."""
 
     def test_two_entries_in_two_data_centres(self):
-        state = make_view()
+        state = make_state()
         for service in SERVICES:
             chosen = choose(state, service)
             assert len(chosen) == 2
             assert len({r.data_centre for r in chosen}) == 2
 
     def test_spread_over_all_entries(self):
-        state = make_view()
-        used = [name for names in table_of(state).values() for name in names]
+        state = make_state()
+        used = [
+            name
+            for names in entries_by_service(state).values()
+            for name in names
+        ]
         counts = [used.count(f"e{n}") for n in range(9)]
         assert min(counts) > 0.4 * max(counts)
 
     def test_change_of_one_entry_moves_only_its_services(self):
-        """All callers move at once.
+        """Guards against all callers reconnecting when one entry restarts.
 
-        Symptom: all connections are made anew when one entry restarts.
-        Sequence: an entry leaves; every service gets other addresses.
-        Cause: services are dealt out by position.
+        If services were assigned to entries by position, one entry that leaves
+        would change the addresses of every service.
         """
-        state = make_view()
-        before = table_of(state)
+        state = make_state()
+        before = entries_by_service(state)
         state.take_row(row(4, InstanceState.LEAVING, sequence=2))
-        after = table_of(state)
+        after = entries_by_service(state)
         for service in SERVICES:
             if "e4" not in before[service]:
                 assert after[service] == before[service]
@@ -85,14 +88,13 @@
                 assert "e4" not in after[service]
                 assert set(before[service]) & set(after[service])
 
-    def test_never_none(self):
-        """No address at all.
+    def test_addresses_are_never_empty(self):
+        """Guards against an empty list of addresses while entries run.
 
-        Symptom: callers get an empty list while entries run.
-        Sequence: a spike overloads all entries, or all are suspected.
-        Cause: doubtful entries are left out, whatever is left.
+        It would arise if doubtful entries were always left out, and a load
+        spike overloads all of them or all are suspect.
         """
-        state = make_view(3)
+        state = make_state(3)
         for bad in (InstanceState.OVERLOADED, InstanceState.SUSPECT):
             for number in range(3):
                 sequence = 3 if bad is InstanceState.OVERLOADED else 4
@@ -100,16 +102,16 @@
             assert len(choose(state, "s")) == 2
 
     def test_overloaded_are_left_out_while_others_are_ready(self):
-        state = make_view(3)
+        state = make_state(3)
         state.take_row(row(1, InstanceState.OVERLOADED, sequence=2))
         for service in SERVICES:
             assert "e1" not in [r.name for r in choose(state, service)]
 
 
 class TestLeaving:
-    """An entry that leaves is out of the addresses at once."""
+    """An entry that leaves is removed from the addresses at once."""
 
-    def test_all_entries_know_within_a_second(self):
+    def test_all_entries_remove_it_within_a_second(self):
         fleet = start_entries()
         fleet.put("e1", Leave())
         fleet.run(1.0)
@@ -119,16 +121,14 @@
 
 
 class TestCatchingUp:
-    """A restarted entry is offered to callers once it knows the servers."""
+    """A restarted entry is in the addresses once its table is complete."""
 
-    def test_not_ready_before_the_table_is_learnt(self):
-        """Refusals from an entry that just restarted.
+    def test_not_ready_before_the_table_is_complete(self):
+        """Guards against rejections by an entry that just restarted.
 
-        Symptom: for seconds after each restart callers are told that no
-        backend server holds anything.
-        Sequence: an entry restarts, reads the document from a quorum, and is
-        in the addresses before it has learnt the table.
-        Cause: ready means only that the document is there.
+        If an entry were ready as soon as it has read the document from a
+        quorum, it would be in the addresses without its table, and for seconds
+        after each restart answer that no backend server holds anything.
         """
         fleet = start_entries()
         searchers = start_searchers(fleet)
--- a/tests/test_membership/test_announcements.py
+++ b/tests/test_membership/test_announcements.py
@@ -25,15 +25,13 @@
 
 
 class TestOrder:
-    """Incarnation and sequence order what a searcher says."""
+    """Incarnation and sequence order the announcements of a searcher."""
 
-    def test_late_and_older_words_change_nothing(self, fleet):
-        """A searcher that comes back from the dead.
+    def test_late_older_announcement_is_rejected(self, fleet):
+        """Guards against attempts to a searcher that left.
 
-        Symptom: attempts go to a searcher that left.
-        Sequence: it says that it is gone; an announcement it sent before
-        arrives after, at another entry.
-        Cause: the last word to arrive is taken for the newest.
+        It announces that it is gone, and an earlier announcement reaches
+        another entry afterwards. The last one received is not the newest.
         """
         searchers = start_searchers(fleet)
         a = searchers["a"]
@@ -55,7 +53,7 @@
         fleet.run(3.0)
         assert all(shown(fleet, e)["a"] is ServerState.READY for e in ENTRIES)
 
-    def test_forged_word_at_the_same_order(self, fleet):
+    def test_forged_announcement_at_the_same_order_is_rejected(self, fleet):
         start_searchers(fleet)
         forged = server("a", announced_to=("e1", "e2"), address="127.0.0.1:666")
         fleet.put("e1", Announce(1, forged, 50))
@@ -65,10 +63,10 @@
         assert row.server.address == "127.0.0.1:1"
 
 
-class TestRefusals:
-    """What is refused, and harms no other row."""
+class TestRejections:
+    """Invalid announcements are rejected and change no other row."""
 
-    def test_not_in_the_document(self, fleet):
+    def test_searcher_outside_the_document(self, fleet):
         stranger = server("stranger", announced_to=("e1",))
         fleet.put("e1", Announce(1, stranger, 1))
         fleet.run(0.1)
@@ -90,14 +88,12 @@
 
 
 class TestSilence:
-    """A searcher that falls silent is dropped everywhere in time."""
+    """A silent searcher is dropped by all entries in time."""
 
-    def test_dropped_everywhere(self, fleet):
-        """A dead searcher that stays in the table.
+    def test_silent_searcher_is_dropped_everywhere(self, fleet):
+        """Guards against attempts to a searcher that failed silently.
 
-        Symptom: attempts go on to a machine that is off.
-        Sequence: the searcher dies without a word.
-        Cause: only its own words change its row.
+        If only its own announcements changed its row, it would stay listed.
         """
         searchers = start_searchers(fleet)
         alive = [searchers["b"], searchers["c"]]
@@ -105,17 +101,17 @@
         for entry in ENTRIES:
             assert shown(fleet, entry).keys() == {"b", "c"}
 
-    def test_copies_of_an_old_renewal_are_no_sign_of_life(self, fleet):
+    def test_copies_of_an_old_renewal_do_not_count(self, fleet):
         searchers = start_searchers(fleet)
         a = searchers["a"]
         row = server("a", announced_to=a.guardians)
         for _ in range(7):
-            for guardian in a.guardians:
-                fleet.put(guardian, Announce(5, row, 1))
+            for watcher in a.guardians:
+                fleet.put(watcher, Announce(5, row, 1))
             run_with_renewals(fleet, [searchers["b"], searchers["c"]], 1.0)
         assert "a" not in shown(fleet, "e3")
 
-    def test_one_guardian_that_still_hears_is_enough(self, fleet):
+    def test_renewals_at_one_watcher_are_enough(self, fleet):
         searchers = start_searchers(fleet)
         for searcher in searchers.values():
             searcher.guardians = ("e1", "e2")
@@ -126,12 +122,11 @@
             run_with_renewals(fleet, [searchers["b"], searchers["c"]], 1.0)
         assert "a" in shown(fleet, "e3")
 
-    def test_guardians_and_searcher_die_together(self, fleet):
-        """A rack that takes a searcher and all who watch it.
+    def test_watchers_and_searcher_fail_together(self, fleet):
+        """Guards against attempts to a rack that failed as a whole.
 
-        Symptom: attempts go on to a rack that is off.
-        Sequence: the searcher and both its guardians die at once.
-        Cause: nobody is left whose task it is to notice.
+        The searcher and both its watchers fail at once, so that no watcher is
+        left to detect the silence.
         """
         start_searchers(fleet)
         fleet.kill("e1")
@@ -160,14 +155,13 @@
 
 
 class TestDrain:
-    """From its word on, a draining searcher gets no new work."""
+    """A searcher that announced draining gets no new work."""
 
     def test_no_new_work_anywhere_after_a_few_seconds(self, fleet):
-        """New work for a searcher that leaves.
+        """Guards against new work that keeps a draining searcher busy.
 
-        Symptom: a searcher that drains never gets empty.
-        Sequence: it says so to its two guardians only.
-        Cause: the other entries do not hear of it.
+        It announces draining to its two watchers only; the other entries must
+        receive it, too.
         """
         searchers = start_searchers(fleet)
         searchers["a"].say(ServerState.DRAINING)
@@ -181,7 +175,7 @@
         assert later
         assert all(msg.server != "a" for _, msg in later)
 
-    def test_entry_that_is_cut_off_stops_by_the_answers(self, fleet):
+    def test_partitioned_entry_learns_of_the_drain_from_answers(self, fleet):
         searchers = start_searchers(fleet)
         fleet.cut_off("e3")
         searchers["a"].say(ServerState.DRAINING)
@@ -198,15 +192,13 @@
         to_a = [m for _, m in fleet.attempts[before:] if m.server == "a"]
         assert len(to_a) <= 2
 
-    def test_renewals_that_still_say_ready_are_signs_of_life(self, fleet):
-        """A draining searcher that is held for lost.
+    def test_renewals_that_still_say_ready_keep_the_searcher(self, fleet):
+        """Guards against dropping a draining searcher that still renews.
 
-        Symptom: a searcher that drains is dropped although it lives, and its
-        announcements are refused for ever.
-        Sequence: it says that it drains, then goes on to announce "ready"
-        under one sequence; here it is kept as draining.
-        Cause: the renewal differs from the row that is kept, and is refused
-        as other words at the same order.
+        It announces draining, then "ready" again and again under one sequence,
+        while its row stays draining. If these renewals were rejected because
+        they differ from the row at the same order, the searcher would be
+        dropped as silent, and rejected from then on.
         """
         searchers = start_searchers(fleet)
         a = searchers["a"]
@@ -217,7 +209,7 @@
         for entry in ENTRIES:
             assert shown(fleet, entry)["a"] is ServerState.DRAINING
 
-    def test_ready_word_after_the_drain_of_one_incarnation(self, fleet):
+    def test_ready_after_draining_is_ignored_in_one_incarnation(self, fleet):
         searchers = start_searchers(fleet)
         a = searchers["a"]
         a.say(ServerState.DRAINING)
--- a/tests/test_membership/test_cuts.py
+++ b/tests/test_membership/test_cuts.py
@@ -1,4 +1,4 @@
-"""Cuts: views part, nothing breaks, and all are equal again after."""
+"""Network partitions: tables diverge, and are equal again afterwards."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 )
 
 ROUND_S = 0.5
-ROUNDS_TO_EQUAL = 60
+MAX_ROUNDS_TO_CONVERGE = 60
 
 
 @pytest.fixture
@@ -30,52 +30,54 @@
     return start_entries()
 
 
-def states_seen(fleet, at: str) -> dict[str, InstanceState]:
-    """Returns how one node sees the instances."""
+def instance_states(fleet, at: str) -> dict[str, InstanceState]:
+    """Returns the states of the live instances in one instance's table."""
     table = fleet.nodes[at].membership.state.table
     return {name: row.state for name, row in table.live_instances.items()}
 
 
-class TestCut:
-    """One way, both ways, flapping; long and short."""
+class TestPartition:
+    """One way, both ways, flapping; long and short partitions."""
 
     @pytest.mark.parametrize("one_way", [True, False])
     @pytest.mark.parametrize("seconds", [20.0, 600.0])
     def test_views_are_equal_within_sixty_rounds(self, fleet, one_way, seconds):
-        """Two halves that never meet again.
+        """Guards against two tables that persist after a partition.
 
-        Symptom: after a cut of an hour, entries keep serving two views.
-        Sequence: each side holds the other for gone and stops probing it.
-        Cause: only live peers are talked to.
+        Each side marks the other as gone. If only live peers were probed, the
+        sides would not merge, for example after a partition of an hour.
         """
         searchers = start_searchers(fleet)
         fleet.cut_off("e3", one_way=one_way)
         run_with_renewals(fleet, searchers.values(), seconds)
         fleet.heal()
-        run_with_renewals(fleet, searchers.values(), ROUNDS_TO_EQUAL * ROUND_S)
+        run_with_renewals(
+            fleet, searchers.values(), MAX_ROUNDS_TO_CONVERGE * ROUND_S
+        )
         assert len(roots(fleet)) == 1
         for entry in ENTRIES:
             assert shown(fleet, entry).keys() == {"a", "b", "c"}
-            seen = states_seen(fleet, entry)
+            seen = instance_states(fleet, entry)
             assert seen["e3"] is InstanceState.READY
 
-    def test_flapping(self, fleet):
+    def test_views_are_equal_after_flapping(self, fleet):
         searchers = start_searchers(fleet)
         for _ in range(20):
             fleet.cut_off("e2")
             run_with_renewals(fleet, searchers.values(), 2.0)
             fleet.heal()
             run_with_renewals(fleet, searchers.values(), 1.0)
-        run_with_renewals(fleet, searchers.values(), ROUNDS_TO_EQUAL * ROUND_S)
+        run_with_renewals(
+            fleet, searchers.values(), MAX_ROUNDS_TO_CONVERGE * ROUND_S
+        )
         assert len(roots(fleet)) == 1
 
-    def test_guardian_that_hears_overrules_the_others(self, fleet):
-        """All searchers of one side gone at the moment a cut heals.
+    def test_watcher_with_renewals_overrules_the_others(self, fleet):
+        """Guards against losing all searchers when a partition heals.
 
-        Symptom: a second without searchers, just when a cut is over.
-        Sequence: e1 is cut off and still hears a searcher; its other guardian
-        does not and says that it is lost; the cut heals.
-        Cause: that word is taken in by who knows better.
+        e1 is partitioned off and still receives a searcher's renewals; the
+        other watcher does not, and marks the searcher as lost. If e1 accepted
+        that row afterwards, it would be without searchers for a second.
         """
         searchers = start_searchers(fleet, guardians=("e1", "e3"))
         fleet.cut_off("e1")
@@ -92,7 +94,7 @@
         assert shown(fleet, "e2") == {}
         fleet.heal()
         mark = len(fleet.out)
-        for _ in range(ROUNDS_TO_EQUAL // 2):
+        for _ in range(MAX_ROUNDS_TO_CONVERGE // 2):
             renew_at_e1()
         assert len(shown(fleet, "e2")) == 3
         lost_at_e1 = [
@@ -102,28 +104,27 @@
         ]
         assert not lost_at_e1
 
-    def test_killed_entry_is_held_for_gone(self, fleet):
+    def test_killed_entry_is_marked_as_gone(self, fleet):
         fleet.kill("e2")
         fleet.run(10.0)
-        assert "e2" not in states_seen(fleet, "e1")
+        assert "e2" not in instance_states(fleet, "e1")
 
-    def test_one_bad_path_does_not_condemn(self, fleet):
+    def test_one_bad_path_does_not_mark_as_gone(self, fleet):
         fleet.cut.add(("e1", "e2"))
         fleet.cut.add(("e2", "e1"))
         fleet.run(30.0)
-        assert "e2" in states_seen(fleet, "e1")
-        assert "e1" in states_seen(fleet, "e2")
+        assert "e2" in instance_states(fleet, "e1")
+        assert "e1" in instance_states(fleet, "e2")
 
 
 class TestStaleEntry:
-    """An entry without control goes on with queries, and says so."""
+    """An entry without control serves queries and rejects claims."""
 
-    def test_queries_go_on_and_claims_are_refused_at_once(self, fleet):
-        """Farms without water for want of a quorum.
+    def test_queries_go_on_and_claims_are_rejected_at_once(self, fleet):
+        """Guards against lookups that fail because control is unavailable.
 
-        Symptom: no contract can be looked up while control is away.
-        Sequence: the control group is gone; lookups and bookings come.
-        Cause: all work needs control.
+        The control group is gone while lookups and bookings arrive. Only
+        bookings need it.
         """
         searchers = start_searchers(fleet)
         for name in "abc":
@@ -144,12 +145,10 @@
         assert fleet.now - asked_at < 1.0
 
     def test_restarted_entry_reads_from_a_quorum_before_it_serves(self, fleet):
-        """A step back after a restart.
+        """Guards against serving under an outdated document after a restart.
 
-        Symptom: a restarted entry serves under a document replaced long ago.
-        Sequence: an entry restarts while a change is accepted that has not
-        reached its neighbours.
-        Cause: it takes a neighbour's document for current.
+        An entry restarts while its neighbours have not received an accepted
+        change, so that a neighbour's document need not be current.
         """
         start_searchers(fleet)
         fleet.kill("e3")
@@ -166,9 +165,9 @@
 
 
 class TestInForce:
-    """From accepted to the last entry."""
+    """An accepted document is in force at all entries within seconds."""
 
-    def test_within_seconds_with_one_control_instance_gone(self):
+    def test_in_force_within_seconds_without_one_control_instance(self):
         fleet = start_entries(controls=("c1", "c2", "c3"))
         leader = fleet.leader()
         lost = next(n for n in ("c1", "c2", "c3") if n != leader)
--- a/tests/test_membership/test_shares.py
+++ b/tests/test_membership/test_shares.py
@@ -1,4 +1,4 @@
-"""Connection shares: their sum never passes a cap."""
+"""Connection shares: their sum never exceeds a cap."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def shares(fleet, server: str) -> dict[str, int]:
-    """Returns what each entry holds of a searcher's cap."""
+    """Returns the share of a searcher's cap, by entry."""
     return {
         name: msg.share
         for name, node in fleet.nodes.items()
@@ -26,15 +26,14 @@
 
 
 class TestShares:
-    """Fixed parts, whoever is thought to be alive."""
+    """Fixed shares, whichever entries are considered live."""
 
-    def test_sum_stays_below_the_cap_through_disagreement(self):
-        """A cap that is passed when views differ.
+    def test_sum_stays_within_the_cap_with_differing_views(self):
+        """Guards against exceeding a cap when tables differ.
 
-        Symptom: a searcher refuses connections after a cut.
-        Sequence: two halves of the entries each think that the other is gone
-        and divide the cap among themselves.
-        Cause: parts depend on who is thought to be alive.
+        In a partition, each half of the entries marks the other as gone. If
+        shares depended on the live entries, each half would divide the whole
+        cap among itself, and searchers would refuse connections.
         """
         fleet = start_entries()
         start_searchers(fleet)
@@ -43,7 +42,7 @@
         assert shares(fleet, "a")["e3"] == CAP // PLACES
         assert sum(shares(fleet, "a").values()) <= CAP
 
-    def test_entry_outside_the_document_holds_nothing(self):
+    def test_entry_outside_the_document_holds_no_share(self):
         fleet = start_entries()
         searchers = start_searchers(fleet)
         fleet.add("e9", ("entry",), group=("c1",))
@@ -52,13 +51,12 @@
         state = fleet.nodes["e9"].membership.state.me.state
         assert state.value == "starting"
 
-    def test_process_without_control_gives_its_shares_up(self):
-        """An old share beside a new one, hours later.
+    def test_entry_without_control_gives_up_its_shares(self):
+        """Guards against an outdated share that is used beside a new one.
 
-        Symptom: a cap is passed long after a change of entries.
-        Sequence: an entry is cut off from control for hours and goes on with
-        the share of a document that was replaced.
-        Cause: a share without an end.
+        An entry is cut off from control for hours. If its share did not
+        expire, it would keep that of a replaced document, and the sum would
+        exceed the cap.
         """
         fleet = start_entries()
         searchers = start_searchers(fleet)
@@ -73,7 +71,7 @@
         assert set(shares(fleet, "a")) >= set(ENTRIES)
         assert shares(fleet, "a")["e1"] == 0
 
-    def test_removed_entry_gives_its_share_up(self):
+    def test_removed_entry_gives_up_its_share(self):
         fleet = start_entries()
         start_searchers(fleet)
         Operator(fleet).accept("c1", "fewer", 1, 1)
--- a/tests/test_membership/test_state_machine.py
+++ b/tests/test_membership/test_state_machine.py
@@ -1,4 +1,4 @@
-"""Hypothesis: views converge, and what has left does not come back."""
+"""Hypothesis: tables converge, and servers that left do not come back."""
 
 from __future__ import annotations
 
