--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements; none of this is part of the product."""
+"""Benchmarks and models; not part of the product."""
--- a/bench/control_slopes.py
+++ b/bench/control_slopes.py
@@ -1,4 +1,4 @@
-"""Costs of the control group and of documents, for ``make slopes``."""
+"""Measures costs of the control group and of documents (``make slopes``)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import zlib
 from pathlib import Path
 
-from bench.fits import report
+from bench.fits import print_fit
 from greengagemoor.control.commands import ApplyDocument, Claim
 from greengagemoor.control.decider import ControlDecider
 from greengagemoor.control.ledger import Ledger
@@ -30,8 +30,8 @@
 from greengagemoor.wire import codec
 
 
-def make_text(services: int) -> str:
-    """Returns a document of services with 260 searchers for every 5."""
+def make_document(services: int) -> str:
+    """Returns a document with 52 searchers a service, 260 for every five."""
     cls = [{"name": "lookup"}, {"name": "book", "repeatable": False}]
     return json.dumps(
         {
@@ -56,25 +56,25 @@
     )
 
 
-def documents() -> None:
-    """Size and time of a document against its searchers."""
+def measure_documents() -> None:
+    """Measures document size and parsing time by number of searchers."""
     services = (10, 50, 100, 250)
     searchers = [52 * number for number in services]
-    sizes, packed, times = [], [], []
+    sizes, packed_sizes, times = [], [], []
     for number in services:
-        text = make_text(number)
+        text = make_document(number)
         start = time.process_time()
         parse_document(text)
         times.append(1000 * (time.process_time() - start))
         sizes.append(len(text))
-        packed.append(len(zlib.compress(text.encode())))
-    report("document bytes by searchers", searchers, sizes, "B")
-    report("packed document by searchers", searchers, packed, "B")
-    report("document parsing by searchers", searchers, times, "ms")
+        packed_sizes.append(len(zlib.compress(text.encode())))
+    print_fit("document bytes by searchers", searchers, sizes, "B")
+    print_fit("packed document by searchers", searchers, packed_sizes, "B")
+    print_fit("document parsing by searchers", searchers, times, "ms")
 
 
-class Group:
-    """Three control deciders without a network: costs of each operation."""
+class ControlGroupModel:
+    """Three control deciders without a network; counts bytes and syncs."""
 
     def __init__(self):
         self.now = 0.0
@@ -103,22 +103,22 @@
         return self.members[leader].state.voters if leader else []
 
     def leader(self) -> str:
-        """Returns the leader's name, or ''."""
+        """Returns the name of the leader, or '' if there is none."""
         leading = [
             n for n, d in self.members.items() if d.state.role.value == "leader"
         ]
         return leading[0] if leading else ""
 
     def tick(self, seconds: float = 0.01) -> None:
-        """Steps every member with what waits for it."""
+        """Advances the clock and steps each member with its messages."""
         self.now += seconds
         waiting, self.queue = self.queue, []
         for name, decider in self.members.items():
             msgs = [msg for to, msg in waiting if to == name]
             for msg in decider.step(self.now, msgs):
-                self._act(name, msg)
+                self._handle_output(name, msg)
 
-    def _act(self, name: str, msg: object) -> None:
+    def _handle_output(self, name: str, msg: object) -> None:
         if isinstance(msg, Persist):
             self.syncs += 1
             self.queue.append((name, Persisted(msg.op)))
@@ -128,8 +128,11 @@
             self.messages += 1
             self.queue.append((msg.to, Received(name, msg.payload)))
 
-    def operate(self, requests: list[OpRequest]) -> int:
-        """Gives the leader operations; returns ticks until all are done."""
+    def run_operations(self, requests: list[OpRequest]) -> int:
+        """Sends operations to the leader.
+
+        Returns the number of ticks until all members have applied them.
+        """
         leader = self.leader()
         last = self.members[leader].state.log.last_index + len(requests)
         self.queue += [(leader, Received("asker", r)) for r in requests]
@@ -140,17 +143,17 @@
         return ticks
 
 
-def claim(number: int, now: float) -> OpRequest:
-    """Returns a claim of a new request."""
+def make_claim(number: int, now: float) -> OpRequest:
+    """Returns an operation that claims a new request."""
     command = Claim(
         "atlas", f"{int(now * 1000)}-{number}", f"e/{number}", now, 10.0, now
     )
     return OpRequest(number, OpKind.CLAIM, command)
 
 
-def control() -> None:
-    """Costs of the control group: idle, apply, claims, ledger."""
-    group = Group()
+def measure_control_group() -> None:
+    """Measures the control group: idle, apply, claims and ledger."""
+    group = ControlGroupModel()
     start, sent = time.process_time(), group.bytes
     for _ in range(2000):
         group.tick()
@@ -159,9 +162,9 @@
         f"control idle: {(group.bytes - sent) / seconds / 3:.0f} B/s and "
         f"{1e6 * (time.process_time() - start) / seconds / 3:.0f} us/s a member"
     )
-    text = make_text(1)
+    text = make_document(1)
     syncs, sent = group.syncs, group.bytes
-    ticks = group.operate(
+    ticks = group.run_operations(
         [OpRequest(1, OpKind.APPLY, ApplyDocument("a", 0, text, 0.0))]
     )
     print(
@@ -174,21 +177,21 @@
     for count in counts:
         syncs, sent = group.syncs, group.bytes
         start = time.process_time()
-        group.operate([claim(i, group.now) for i in range(count)])
+        group.run_operations([make_claim(i, group.now) for i in range(count)])
         times.append(1e6 * (time.process_time() - start))
         sizes.append(group.bytes - sent)
     print(f"claims: {group.syncs - syncs} syncs for the last {counts[-1]}")
-    report("processor of claims, three members", counts, times, "us")
-    report("bytes of claims, three members", counts, sizes, "B")
-    ledger()
+    print_fit("processor of claims, three members", counts, times, "us")
+    print_fit("bytes of claims, three members", counts, sizes, "B")
+    measure_ledger()
 
 
-def ledger() -> None:
-    """Memory and snapshot size of the ledger against its ids."""
+def measure_ledger() -> None:
+    """Measures memory and snapshot of the ledger by number of ids."""
     counts = (2000, 4000, 8000)
     used, saved, times = [], [], []
     for count in counts:
-        commands = [claim(i, 1000.0).command for i in range(count)]
+        commands = [make_claim(i, 1000.0).command for i in range(count)]
         tracemalloc.start()
         table = Ledger()
         for command in commands:
@@ -198,13 +201,13 @@
         start = time.process_time()
         saved.append(len(table.save()))
         times.append(1e6 * (time.process_time() - start))
-    report("ledger memory by ids", counts, used, "B")
-    report("ledger snapshot by ids", counts, saved, "B")
-    report("ledger snapshot time by ids", counts, times, "us")
+    print_fit("ledger memory by ids", counts, used, "B")
+    print_fit("ledger snapshot by ids", counts, saved, "B")
+    print_fit("ledger snapshot time by ids", counts, times, "us")
 
 
-def restarts() -> None:
-    """Time and folder size of a restart against the changes before it."""
+def measure_restarts() -> None:
+    """Measures restart time and data folder size by earlier changes."""
     counts = (125, 500, 2000)
     times, sizes = [], []
     for count in counts:
@@ -212,23 +215,23 @@
             _apply_changes(Path(name), count)
             start = time.perf_counter()
             store = Store(DataFolder(name, "c1"))
-            member = _lone_member()
+            member = _make_single_member()
             member.step(1e6, [store.recover()])
             times.append(1000 * (time.perf_counter() - start))
             store.close()
             sizes.append(sum(f.stat().st_size for f in Path(name).iterdir()))
-    report("restart time by changes", counts, times, "ms")
-    report("data folder by changes", counts, sizes, "B")
+    print_fit("restart time by changes", counts, times, "ms")
+    print_fit("data folder by changes", counts, sizes, "B")
 
 
-def _lone_member() -> ControlDecider:
+def _make_single_member() -> ControlDecider:
     return ControlDecider("c1#x", "c1:1", {}, random.Random(1), founders={})
 
 
 def _apply_changes(folder: Path, count: int) -> None:
-    """Applies documents one after the other, each synced, as one member."""
+    """Applies documents one by one in a single-member group, each synced."""
     store = Store(DataFolder(folder, "c1"))
-    member = _lone_member()
+    member = _make_single_member()
     now, version, msgs = 0.0, 0, [store.recover()]
     while member.state.machine.documents.version < count:
         now += 0.01
@@ -239,7 +242,7 @@
         done = member.state.machine.documents.version
         if member.state.role is Role.LEADER and done == version:
             version += 1
-            command = ApplyDocument(f"a{version}", done, make_text(1), now)
+            command = ApplyDocument(f"a{version}", done, make_document(1), now)
             request = OpRequest(version, OpKind.APPLY, command)
             msgs.append(Received("operator", request))
     store.close()
--- a/bench/costs.py
+++ b/bench/costs.py
@@ -1,7 +1,7 @@
-"""Measures processor time and memory of real processes: ``make costs``.
+"""Measures processor time and memory of real processes (``make costs``).
 
-One control instance, one entry and three stand-in searchers on loopback. The
-figures vary with the machine; compare ratios within one run.
+Runs one control instance, one entry and three stand-in searchers on loopback.
+The figures vary with the machine; compare ratios within one run.
 """
 
 from __future__ import annotations
@@ -27,22 +27,22 @@
     StartAttempt,
 )
 
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 LOAD_S = 8.0
 RATES = (25.0, 50.0, 100.0, 200.0)
 DECIDER_QUERIES = 3000
 IDLE_S = 5.0
-FLEETS = (6, 12, 24)
+ENTRY_COUNTS = (6, 12, 24)
 
 
-def processor_s(pid: int) -> float:
-    """Returns the processor seconds that a process has used."""
+def processor_time_s(pid: int) -> float:
+    """Returns the processor time used by a process, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
 def memory_mb(pid: int) -> float:
-    """Returns the resident memory of a process."""
+    """Returns the resident memory of a process, in MB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / 1024
@@ -50,7 +50,7 @@
 
 
 def decider_us_per_attempt() -> float:
-    """Returns the processor time of the query decider alone."""
+    """Returns the processor time of the query decider in us per attempt."""
     from greengagemoor.backends import BackendServer, HeldVersion, ServerState
 
     decider = QueryDecider("dc-1", random.Random(1))
@@ -97,8 +97,8 @@
     return (time.process_time() - start) / attempts * 1e6
 
 
-def attempts_of(fleet: Fleet, http: str) -> int:
-    """Returns how many attempts an entry has started."""
+def attempts_started(fleet: Fleet, http: str) -> int:
+    """Returns the number of attempts that an entry has started."""
     return int(_metric(fleet, http, "greengagemoor_attempts_total"))
 
 
@@ -111,18 +111,18 @@
 
 
 def main() -> None:
-    """Prints all figures, or those of the idle fleets only ("fleets")."""
+    """Prints all figures; with "fleets", only those of the idle fleets."""
     if "fleets" not in sys.argv:
         print(f"query decider: {decider_us_per_attempt():.0f} us an attempt")
         with tempfile.TemporaryDirectory() as name, Fleet(Path(name)) as fleet:
             _measure_processes(fleet)
-    for entries in FLEETS:
+    for entries in ENTRY_COUNTS:
         with tempfile.TemporaryDirectory() as name, Fleet(Path(name)) as fleet:
-            _measure_fleet(fleet, entries)
+            _measure_idle_fleet(fleet, entries)
 
 
-def _measure_fleet(fleet: Fleet, entries: int) -> None:
-    """Measures idle processes that only keep their tables equal."""
+def _measure_idle_fleet(fleet: Fleet, entries: int) -> None:
+    """Measures idle processes, which only replicate membership tables."""
     names = [f"control-{i}" for i in range(3)]
     names += [f"entry-{i}" for i in range(entries)]
     ports = iter(free_addresses(2 * len(names)))
@@ -151,7 +151,7 @@
             **own,
         )
     wait_for(
-        "all to know all",
+        "every instance to list all others",
         lambda: all(
             len((fleet.get(http[n], "/v1/status") or {}).get("instances", ()))
             == len(names)
@@ -160,21 +160,24 @@
         120.0,
     )
     time.sleep(IDLE_S)
-    _measure_quiet(fleet, names, http)
+    _measure_idle_roles(fleet, names, http)
 
 
-def _measure_quiet(
+def _measure_idle_roles(
     fleet: Fleet, names: list[str], http: dict[str, str]
 ) -> None:
-    """Measures processes that have found each other, by their role."""
+    """Measures idle processes after membership has converged, by role."""
     pids = {name: fleet.processes[name].pid for name in names}
     before = {
-        n: (processor_s(p), _sent(fleet, http[n])) for n, p in pids.items()
+        n: (processor_time_s(p), _peer_bytes_sent(fleet, http[n]))
+        for n, p in pids.items()
     }
     time.sleep(2 * IDLE_S)
     for what, part in (("control", names[:3]), ("entry", names[3:])):
-        used = sum(processor_s(pids[n]) - before[n][0] for n in part)
-        sent = sum(_sent(fleet, http[n]) - before[n][1] for n in part)
+        used = sum(processor_time_s(pids[n]) - before[n][0] for n in part)
+        sent = sum(
+            _peer_bytes_sent(fleet, http[n]) - before[n][1] for n in part
+        )
         seconds = 2 * IDLE_S * len(part)
         megabytes = sum(memory_mb(pids[n]) for n in part) / len(part)
         print(
@@ -185,7 +188,7 @@
         )
 
 
-def _sent(fleet: Fleet, http: str) -> float:
+def _peer_bytes_sent(fleet: Fleet, http: str) -> float:
     return _metric(fleet, http, "greengagemoor_peer_bytes_sent_total")
 
 
@@ -216,23 +219,23 @@
         ports[4:], SHARDS.items(), strict=True
     ):
         fleet.start_searcher(searcher, address, entries=ports[2], shards=shards)
-    wait_for("searchers", lambda: _knows_all(fleet, ports[2]))
+    wait_for("searchers", lambda: _has_all_searchers(fleet, ports[2]))
     _measure_idle(fleet)
     for rate in RATES:
         _measure_load(fleet, ports[2], rate)
 
 
-def _knows_all(fleet: Fleet, http: str) -> bool:
+def _has_all_searchers(fleet: Fleet, http: str) -> bool:
     status = fleet.get(http, "/v1/status") or {}
     return len(status.get("backend_servers", ())) == len(SHARDS)
 
 
 def _measure_idle(fleet: Fleet) -> None:
     pids = {n: fleet.processes[n].pid for n in ("control-1", "entry-1")}
-    before = {name: processor_s(pid) for name, pid in pids.items()}
+    before = {name: processor_time_s(pid) for name, pid in pids.items()}
     time.sleep(IDLE_S)
     for name, pid in pids.items():
-        used = (processor_s(pid) - before[name]) / IDLE_S
+        used = (processor_time_s(pid) - before[name]) / IDLE_S
         print(
             f"{name} idle: {memory_mb(pid):.1f} MB, {100 * used:.1f}% of a core"
         )
@@ -240,11 +243,11 @@
 
 def _measure_load(fleet: Fleet, http: str, rate: float) -> None:
     pid = fleet.processes["entry-1"].pid
-    attempts, used = attempts_of(fleet, http), processor_s(pid)
+    attempts, used = attempts_started(fleet, http), processor_time_s(pid)
     plan = Plan("contracts", "lookup", 4, 10**9, 1.0)
     tally = send_load(http, plan, rate, LOAD_S, 16)
-    attempts = attempts_of(fleet, http) - attempts
-    used = processor_s(pid) - used
+    attempts = attempts_started(fleet, http) - attempts
+    used = processor_time_s(pid) - used
     whole = tally.codes[100]
     quantiles = [
         tally.latency.get_value_at_percentile(q) / 1000 for q in (50, 99)
--- a/bench/crashes/__init__.py
+++ b/bench/crashes/__init__.py
@@ -1,5 +1,6 @@
-"""A fleet under one clock, with requests that end the searchers that run them.
+"""Simulates a fleet in which certain requests crash the searchers they reach.
 
-Entries and hubs are the real deciders. Searchers are stand-ins that end as they
-begin to run certain requests, and come back after some seconds under a new id.
+Entries and control instances run the real deciders. Searchers are simulated:
+they crash when they start to run a harmful request and restart after some
+seconds under a new id.
 """
--- a/bench/crashes/fleet.py
+++ b/bench/crashes/fleet.py
@@ -1,4 +1,4 @@
-"""All of it under one clock, and what was seen from outside."""
+"""The simulated fleet, and records of what happens to requests."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from functools import partial
 from itertools import count
 
-from bench.crashes.faults import Faults
-from bench.crashes.nodes import TRIP_S, Control, Entry
-from bench.crashes.searchers import Searchers
+from bench.crashes.faults import FaultInjection
+from bench.crashes.nodes import ONE_WAY_S, Control, Entry
+from bench.crashes.searchers import SearcherSimulation
 from greengagemoor.codes import Code
 from greengagemoor.control.ledger import Ledger
 from greengagemoor.control.messages import (
@@ -23,17 +23,17 @@
 from greengagemoor.forward import messages as m
 from greengagemoor.routing.routes import RouteTable, ServiceRules
 
-WINDOW_S = 4.0
-"""So long after the third end everybody knows what ends searchers."""
-HELD_BACK = (
+PROPAGATION_S = 4.0
+"""Time after the third crash by which all entries must refuse a request."""
+SUSPECT_ENDINGS = (
     m.Ending.NOT_RUN_QUARANTINED,
     m.Ending.NOT_RUN_SUSPECT,
 )
-CAP = 40
+CONNECTION_CAP = 40
 
 
-class Fleet(Searchers, Faults):
-    """All of it, and what was seen from outside."""
+class Fleet(SearcherSimulation, FaultInjection):
+    """Entries, control instances and searchers on one simulated clock."""
 
     def __init__(
         self,
@@ -43,31 +43,31 @@
         replicas: int = 5,
         seed: int = 1,
     ):
-        """Starts everything; all entries are ready then.
+        """Starts all processes and waits until all entries are ready.
 
         Args:
-            entries: how many there are.
-            controls: control instances.
-            shards: services, each of them one shard.
-            replicas: searchers of each.
-            seed: same seed, same run.
+            entries: number of entries.
+            controls: number of control instances.
+            shards: number of services; each is one shard.
+            replicas: number of searchers of each service.
+            seed: seed of all random choices.
         """
         self.now = 100.0
         self.rng = random.Random(seed)
-        self.heap = []
+        self.events = []
         self.ids = count(1)
         self.ledger = Ledger()
         self.ledger.advance(self.now)
-        self.cuts = set()
+        self.cut_links = set()
         self.harmful = set()
         self.ends = Counter()
-        self.third_end = {}
-        self.late_arrivals = {}
+        self.third_crash_at = {}
+        self.late_runs = {}
         self.answers = {}
         self.asked = {}
         self.searchers = {}
         services = [f"s{i}" for i in range(shards)]
-        rules = {name: ServiceRules(name, CAP) for name in services}
+        rules = {name: ServiceRules(name, CONNECTION_CAP) for name in services}
         self.table = RouteTable(1, (), rules, None)
         self.services = services
         self.control_names = [f"c{i}" for i in range(controls)]
@@ -75,8 +75,8 @@
         self.entries = []
         for name in self.control_names:
             self.controls.append(Control(self, name))
-        for one in self.controls:
-            self.link_controls(one)
+        for control in self.controls:
+            self.connect_control(control)
         for service in services:
             for i in range(replicas):
                 self.add_searcher(service, f"{service}.{i}:1")
@@ -87,62 +87,62 @@
 
     # Clock and links.
 
-    def at(self, when, call):
-        """Calls at a time."""
-        heapq.heappush(self.heap, (when, next(self.ids), call))
+    def at(self, time, callback):
+        """Schedules a call at a time."""
+        heapq.heappush(self.events, (time, next(self.ids), callback))
 
     def run(self, seconds):
-        """Lets so much time pass."""
+        """Runs the simulation for a number of seconds."""
         end = self.now + seconds
-        while self.heap and self.heap[0][0] <= end:
-            when, _, call = heapq.heappop(self.heap)
-            self.now = max(self.now, when)
-            call()
+        while self.events and self.events[0][0] <= end:
+            time, _, callback = heapq.heappop(self.events)
+            self.now = max(self.now, time)
+            callback()
         self.now = end
 
-    def node(self, name):
-        """Returns the process of a name, None if there is none."""
-        nodes = (*self.controls, *self.entries)
-        return next((node for node in nodes if node.name == name), None)
+    def find_process(self, name):
+        """Returns the process with a name, or None."""
+        processes = (*self.controls, *self.entries)
+        return next((p for p in processes if p.name == name), None)
 
-    def link(self, entry, control):
-        """An entry has a link to a control instance from now on."""
+    def connect(self, entry, control):
+        """Notifies an entry that its link to a control instance is up."""
         entry.put(feed.LinkUp(control.name))
 
-    def link_controls(self, one):
-        """A control instance and all others have links."""
+    def connect_control(self, control):
+        """Links a control instance with all other ones."""
         for other in self.controls:
-            if other is not one:
-                one.put(feed.LinkUp(other.name))
-                other.put(feed.LinkUp(one.name))
+            if other is not control:
+                control.put(feed.LinkUp(other.name))
+                other.put(feed.LinkUp(control.name))
 
-    def unlink(self, one, other):
-        """A link is gone; both ends notice."""
+    def disconnect(self, one, other):
+        """Notifies both ends that their link is down."""
         one.put(feed.LinkDown(other.name))
         other.put(feed.LinkDown(one.name))
 
-    def carry(self, sender, msg):
-        """Carries a message, unless the way is cut."""
+    def transmit(self, sender, msg):
+        """Delivers a message after a delay, unless the link is cut."""
         if isinstance(msg.payload, OpRequest):
-            call = partial(self.answer_operation, sender, msg)
-            self.at(self.now + 3 * TRIP_S, call)
+            callback = partial(self.answer_operation, sender, msg)
+            self.at(self.now + 3 * ONE_WAY_S, callback)
             return
-        target = self.node(msg.to)
-        if target is None or frozenset((sender, msg.to)) in self.cuts:
+        target = self.find_process(msg.to)
+        if target is None or frozenset((sender, msg.to)) in self.cut_links:
             return
-        life = target.life
+        generation = target.generation
         got = Received(sender, msg.payload)
 
         def deliver():
-            if target.life == life:
+            if target.generation == generation:
                 target.put(got)
 
-        self.at(self.now + TRIP_S, deliver)
+        self.at(self.now + ONE_WAY_S, deliver)
 
-    def answer_operation(self, asker, msg):
-        """Answers as the control group does, whoever leads it."""
-        node = self.node(asker)
-        if node is None or frozenset((asker, msg.to)) in self.cuts:
+    def answer_operation(self, sender, msg):
+        """Answers an operation in place of the control group."""
+        process = self.find_process(sender)
+        if process is None or frozenset((sender, msg.to)) in self.cut_links:
             return
         req = msg.payload
         self.ledger.advance(self.now)
@@ -156,22 +156,25 @@
             )
         else:
             reply = OpReply(req.op_id, Code.CURRENT, version=1, packed=b"doc")
-        node.put(Received(msg.to, reply))
+        process.put(Received(msg.to, reply))
 
     def probe(self, entry, msg):
-        """Dials an address, as an entry asks for."""
-        life = entry.life
+        """Connects to a searcher's address for a probe of an entry."""
+        generation = entry.generation
 
         def dial():
-            one = self.searchers.get(msg.address)
-            refused = one is None or not one.up
-            if entry.life == life:
+            target = self.searchers.get(msg.address)
+            refused = target is None or not target.up
+            if entry.generation == generation:
                 entry.put(m.ProbeEnded(msg.searcher, refused))
 
-        self.at(self.now + 2 * TRIP_S, dial)
+        self.at(self.now + 2 * ONE_WAY_S, dial)
 
     def ask(self, fingerprint, route, entry=None):
-        """Sends a request; returns its token."""
+        """Sends a request to an entry; returns its token.
+
+        A ready entry is drawn at random if none is given.
+        """
         if entry is None:
             entry = self.rng.choice([e for e in self.entries if e.ready])
         token = next(self.ids)
@@ -181,33 +184,36 @@
         entry.put(arrived)
         return token
 
-    def note_harmful_run(self, entry, fingerprint, msg):
-        """Notes a run of a request that ends searchers."""
-        third = self.third_end.get(fingerprint)
-        if entry.disturbed_at + WINDOW_S > self.now:
-            # It may not have heard yet; that is nobody's fault.
+    def record_harmful_run(self, entry, fingerprint, msg):
+        """Records a run of a harmful request if it should have been refused."""
+        third = self.third_crash_at.get(fingerprint)
+        if entry.last_fault_at + PROPAGATION_S > self.now:
+            # After a fault the entry may not have received the suspects yet.
             return
-        if third is not None and self.now > third + WINDOW_S:
-            self.late_arrivals.setdefault(fingerprint, set()).add(msg.token)
+        if third is not None and self.now > third + PROPAGATION_S:
+            self.late_runs.setdefault(fingerprint, set()).add(msg.token)
 
-    def note_answer(self, entry, msg):
-        """Takes the final answer to a request."""
+    def record_answer(self, entry, msg):
+        """Records the final answer to a request."""
         self.answers[msg.token] = msg
 
     def endings(self, fingerprint):
-        """How requests ended, by ending; None for those under way."""
+        """Counts requests by ending; None counts those without an answer."""
         tokens = (t for t, (key, _) in self.asked.items() if key == fingerprint)
         answers = (self.answers.get(token) for token in tokens)
         return Counter(answer and answer.ending for answer in answers)
 
     def refused_innocents(self):
-        """How many requests that end nothing were taken for ones that do."""
+        """Returns how many harmless requests were refused as suspect."""
         return sum(
-            self.answers[token].ending in HELD_BACK
+            self.answers[token].ending in SUSPECT_ENDINGS
             for token, (fingerprint, _) in self.asked.items()
             if token in self.answers and fingerprint not in self.harmful
         )
 
     def late_repeats(self, fingerprint):
-        """How many requests reached searchers when all should know better."""
-        return len(self.late_arrivals.get(fingerprint, ()))
+        """Returns how many requests reached searchers too late.
+
+        These were sent after all entries should have refused them.
+        """
+        return len(self.late_runs.get(fingerprint, ()))
--- a/bench/crashes/nodes.py
+++ b/bench/crashes/nodes.py
@@ -1,4 +1,4 @@
-"""Entries and control instances, each stepped when something comes."""
+"""Simulated processes of entries and control instances."""
 
 from __future__ import annotations
 
@@ -13,60 +13,65 @@
 from greengagemoor.forward.entrydecider import EntryDecider
 from greengagemoor.forward.policy import Policy
 
-TRIP_S = 0.001
-ANNOUNCE_S = 1.2
-KEEP_S = 1.0
+ONE_WAY_S = 0.001
+ANNOUNCE_INTERVAL_S = 1.2
+SAVE_INTERVAL_S = 1.0
 
 
-class Node:
-    """A process with a decider: steps it, and keeps its wake time."""
+class Process:
+    """Steps a decider on messages and at its wake time.
+
+    Attributes:
+        generation: number of starts; work of earlier starts is discarded.
+        last_fault_at: time of the last fault, infinite while one lasts.
+    """
 
     def __init__(self, fleet, name):
         self.fleet = fleet
         self.name = name
         self.frozen = False
         self.inbox = []
-        self.life = 0
-        self.disturbed_at = float("-inf")
+        self.generation = 0
+        self.last_fault_at = float("-inf")
         self.wake_at = float("inf")
 
     def put(self, *msgs):
-        """Hands messages to it; they wait while it is frozen."""
+        """Delivers messages; they are queued while the process is frozen."""
         self.inbox += msgs
         if not self.frozen:
-            self.tick()
+            self.step_decider()
 
-    def tick(self):
-        """Steps its decider with all that waits."""
+    def step_decider(self):
+        """Steps the decider with all queued messages."""
         msgs, self.inbox = self.inbox, []
         for msg in self.decider.step(self.fleet.now, msgs):
-            self.act(msg)
-        self._wake_later()
+            self.handle_output(msg)
+        self._schedule_wake()
 
-    def _wake_later(self):
+    def _schedule_wake(self):
         at = max(self.decider.next_wake(), self.fleet.now + 0.001)
         if at < self.wake_at:
             self.wake_at = at
-            self.fleet.at(at, partial(self._wake, self.life, at))
+            self.fleet.at(at, partial(self._run_wake, self.generation, at))
 
-    def _wake(self, life, at):
-        if self.life != life or self.wake_at != at:
+    def _run_wake(self, generation, at):
+        if self.generation != generation or self.wake_at != at:
             return
         self.wake_at = float("inf")
         if not self.frozen:
-            self.tick()
+            self.step_decider()
 
-    def born_again(self):
-        """Forgets what an earlier process had to do."""
-        self.life += 1
-        self.disturbed_at = self.fleet.now
+    def reset(self):
+        """Discards messages and wake times of the previous start."""
+        self.generation += 1
+        self.last_fault_at = self.fleet.now
         self.inbox = []
         self.frozen = False
         self.wake_at = float("inf")
 
 
-class Entry(Node):
-    """An entry; counts how its requests ended."""
+class Entry(Process):
+    """An entry."""
 
     def __init__(self, fleet, name, number):
         super().__init__(fleet, name)
@@ -76,38 +81,40 @@
     def start(self):
         """Starts its process."""
         fleet = self.fleet
-        self.born_again()
+        self.reset()
         me = feed.Subscribe(self.name, f"{self.name}:80", "dc1", ready=False)
-        rng = random.Random(1000 * self.number + self.life)
+        rng = random.Random(1000 * self.number + self.generation)
         self.decider = EntryDecider(me, rng, Policy())
         self.decider.forward.set_routes(fleet.table)
         self.requests = {}
         for control in fleet.controls:
-            fleet.link(self, control)
+            fleet.connect(self, control)
 
     @property
     def ready(self):
-        """Whether callers may be given it."""
+        """Whether requests may be sent to it."""
         return self.decider.view.me.ready and not self.frozen
 
-    def act(self, msg):
-        """Does what its decider says."""
+    def handle_output(self, msg):
+        """Handles an output message of the decider."""
         fleet = self.fleet
         if isinstance(msg, Send):
-            fleet.carry(self.name, msg)
+            fleet.transmit(self.name, msg)
         elif isinstance(msg, m.StartAttempt):
-            call = partial(fleet.reach, self, self.life, msg)
-            fleet.at(fleet.now + TRIP_S, call)
+            callback = partial(
+                fleet.receive_attempt, self, self.generation, msg
+            )
+            fleet.at(fleet.now + ONE_WAY_S, callback)
         elif isinstance(msg, m.CancelAttempt):
-            fleet.cut(self, msg.attempt_id)
+            fleet.cancel_attempt(self, msg.attempt_id)
         elif isinstance(msg, m.Respond):
-            fleet.note_answer(self, msg)
+            fleet.record_answer(self, msg)
         elif isinstance(msg, m.ProbeSearcher):
             fleet.probe(self, msg)
 
 
-class Control(Node):
-    """A control instance: a hub, and what it keeps over restarts."""
+class Control(Process):
+    """A control instance: a hub and its stored state."""
 
     def __init__(self, fleet, name):
         super().__init__(fleet, name)
@@ -116,24 +123,30 @@
 
     def start(self):
         """Starts its process."""
-        self.born_again()
-        self.decider = Hub(Timing(ANNOUNCE_S), self.name)
+        self.reset()
+        self.decider = Hub(Timing(ANNOUNCE_INTERVAL_S), self.name)
         self.decider.begin_with(self.fleet.now, self.disk.get("rows", ()))
         self.decider.suspects.begin_with(self.disk.get("suspects", ()))
         names = frozenset(self.fleet.control_names) - {self.name}
         self.decider.set_peers(tuple(sorted(self.fleet.control_names)), names)
         self.put(NumberedAccepted(1, b"doc"))
-        self.fleet.at(self.fleet.now + KEEP_S, partial(self.keep, self.life))
-
-    def keep(self, life):
-        """Writes what a restart should know."""
-        if self.life != life:
+        self.fleet.at(
+            self.fleet.now + SAVE_INTERVAL_S,
+            partial(self.save_state, self.generation),
+        )
+
+    def save_state(self, generation):
+        """Stores rows for a restart, at a regular interval."""
+        if self.generation != generation:
             return
         self.disk["rows"] = self.decider.kept_rows().rows
         self.disk["suspects"] = self.decider.suspects.kept().rows
-        self.fleet.at(self.fleet.now + KEEP_S, partial(self.keep, life))
+        self.fleet.at(
+            self.fleet.now + SAVE_INTERVAL_S,
+            partial(self.save_state, generation),
+        )
 
-    def act(self, msg):
-        """Does what its decider says."""
+    def handle_output(self, msg):
+        """Handles an output message of the decider."""
         if isinstance(msg, Send):
-            self.fleet.carry(self.name, msg)
+            self.fleet.transmit(self.name, msg)
--- a/bench/crashes/routes.py
+++ b/bench/crashes/routes.py
@@ -1,4 +1,4 @@
-"""Routes of the fleet."""
+"""Routes of the simulated fleet."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def gather_route(services, least=0.75):
-    """Returns a route over several services."""
+    """Returns a route that gathers from several services."""
     return Route(
         name="all",
         host="h",
--- a/bench/crashes/searchers.py
+++ b/bench/crashes/searchers.py
@@ -1,4 +1,4 @@
-"""Stand-in searchers: they answer, end, and come back."""
+"""Simulated searchers that answer, crash and restart."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 import attrs
 
-from bench.crashes.nodes import ANNOUNCE_S, TRIP_S
+from bench.crashes.nodes import ANNOUNCE_INTERVAL_S, ONE_WAY_S
 from greengagemoor.feed import messages as feed
 from greengagemoor.feed.messages import SearcherRow, SearcherState
 from greengagemoor.forward import messages as m
 
-CRASH_S = 0.002
-"""From the start of a run to the end of a searcher that it ends."""
-BACK_S = (1.5, 3.0)
+CRASH_DELAY_S = 0.002
+"""Time from the start of a harmful run to the crash of its searcher."""
+RESTART_S = (1.5, 3.0)
 
 
 @attrs.define(eq=False)
 class Searcher:
-    """One start of a searcher."""
+    """A searcher from its start to its crash."""
 
     searcher_id: str
     service: str
@@ -28,107 +28,119 @@
     sequence: int = 0
 
 
-class Searchers:
-    """The part of a fleet that runs requests."""
+class SearcherSimulation:
+    """Mixin of ``Fleet`` that simulates searchers."""
 
     def add_searcher(self, service, address):
         """Starts a searcher at an address."""
         searcher_id = f"i-{next(self.ids)}"
-        one = Searcher(searcher_id, service, address)
-        self.searchers[address] = one
-        self.announce(one)
+        searcher = Searcher(searcher_id, service, address)
+        self.searchers[address] = searcher
+        self.announce(searcher)
 
-    def announce(self, one):
-        """It announces itself, again and again."""
-        if not one.up:
+    def announce(self, searcher):
+        """Announces a searcher to a control instance, repeatedly."""
+        if not searcher.up:
             return
-        one.sequence += 1
+        searcher.sequence += 1
         row = SearcherRow(
-            one.searcher_id,
-            one.service,
-            one.address,
+            searcher.searcher_id,
+            searcher.service,
+            searcher.address,
             "dc1",
             SearcherState.READY,
-            one.sequence,
+            searcher.sequence,
             5,
             0.0,
         )
-        # The same instance each time, as searchers do: it is told to them.
-        home = self.controls[hash_of(one.address) % len(self.controls)]
-        home.put(feed.Announced(next(self.ids), row))
-        self.at(self.now + ANNOUNCE_S, partial(self.announce, one))
-
-    def reach(self, entry, life, msg):
-        """A send reaches an address."""
-        if entry.life != life:
+        # Real searchers are given one control instance and announce themselves
+        # to it each time.
+        control = self.controls[
+            stable_hash(searcher.address) % len(self.controls)
+        ]
+        control.put(feed.Announced(next(self.ids), row))
+        self.at(
+            self.now + ANNOUNCE_INTERVAL_S, partial(self.announce, searcher)
+        )
+
+    def receive_attempt(self, entry, generation, msg):
+        """Handles an attempt that arrives at an address."""
+        if entry.generation != generation:
             return
-        one = self.searchers.get(msg.address)
-        if one is None or not one.up:
-            self.end(entry, life, msg, m.Outcome.NOT_SENT)
-        elif one.searcher_id != msg.searcher_id:
-            self.end(entry, life, msg, m.Outcome.WRONG_SEARCHER)
+        searcher = self.searchers.get(msg.address)
+        if searcher is None or not searcher.up:
+            self.end_attempt(entry, generation, msg, m.Outcome.NOT_SENT)
+        elif searcher.searcher_id != msg.searcher_id:
+            self.end_attempt(entry, generation, msg, m.Outcome.WRONG_SEARCHER)
         else:
-            self.begin_run(entry, life, msg, one)
+            self.start_run(entry, generation, msg, searcher)
 
-    def begin_run(self, entry, life, msg, one):
-        """It runs a send, and ends if that is a harmful one."""
-        key = (entry, life, msg.attempt_id)
-        one.running[key] = msg
+    def start_run(self, entry, generation, msg, searcher):
+        """Starts to run an attempt; a harmful one crashes the searcher."""
+        key = (entry, generation, msg.attempt_id)
+        searcher.running[key] = msg
         fingerprint = entry.requests[msg.token]
         if fingerprint in self.harmful:
-            self.note_harmful_run(entry, fingerprint, msg)
-            self.at(self.now + CRASH_S, partial(self.crash, one, fingerprint))
+            self.record_harmful_run(entry, fingerprint, msg)
+            self.at(
+                self.now + CRASH_DELAY_S,
+                partial(self.crash, searcher, fingerprint),
+            )
         else:
             work = self.rng.uniform(0.01, 0.06)
-            self.at(self.now + work, partial(self.answer, one, key))
+            self.at(self.now + work, partial(self.finish_run, searcher, key))
 
-    def answer(self, one, key):
-        """It answers."""
-        msg = one.running.pop(key, None)
-        entry, life, _ = key
-        if msg is None or not one.up:
+    def finish_run(self, searcher, key):
+        """Ends a run with an answer."""
+        msg = searcher.running.pop(key, None)
+        entry, generation, _ = key
+        if msg is None or not searcher.up:
             return
-        answer = m.SearcherAnswer(200, one.searcher_id, (), b"")
-        self.end(entry, life, msg, m.Outcome.ANSWERED, answer)
+        answer = m.SearcherAnswer(200, searcher.searcher_id, (), b"")
+        self.end_attempt(entry, generation, msg, m.Outcome.ANSWERED, answer)
 
-    def end(self, entry, life, msg, outcome, answer=None, stale=False):
-        """A send ends; its entry hears of it."""
+    def end_attempt(
+        self, entry, generation, msg, outcome, answer=None, stale=False
+    ):
+        """Notifies the entry of the end of an attempt."""
         ended = m.AttemptEnded(msg.attempt_id, outcome, answer, stale=stale)
 
         def deliver():
-            if entry.life == life:
+            if entry.generation == generation:
                 entry.put(ended)
 
-        self.at(self.now + TRIP_S, deliver)
+        self.at(self.now + ONE_WAY_S, deliver)
 
-    def cut(self, entry, attempt_id):
-        """An entry cuts a send."""
-        for one in self.searchers.values():
-            one.running.pop((entry, entry.life, attempt_id), None)
+    def cancel_attempt(self, entry, attempt_id):
+        """Cancels an attempt of an entry."""
+        for searcher in self.searchers.values():
+            searcher.running.pop((entry, entry.generation, attempt_id), None)
 
-    def crash(self, one, fingerprint=None, back=None):
-        """A searcher ends; another start has its address later."""
-        if not one.up:
+    def crash(self, searcher, fingerprint=None, restart_s=None):
+        """Crashes a searcher; a new one starts at its address later."""
+        if not searcher.up:
             return
-        one.up = False
+        searcher.up = False
         if fingerprint is not None:
             self.ends[fingerprint] += 1
             if self.ends[fingerprint] == 3:
-                self.third_end[fingerprint] = self.now
-        for (entry, life, _), msg in one.running.items():
-            self.end(entry, life, msg, m.Outcome.BROKEN)
-        one.running.clear()
-        wait = back or self.rng.uniform(*BACK_S)
-        call = partial(self.add_searcher, one.service, one.address)
-        self.at(self.now + wait, call)
+                self.third_crash_at[fingerprint] = self.now
+        for (entry, generation, _), msg in searcher.running.items():
+            self.end_attempt(entry, generation, msg, m.Outcome.BROKEN)
+        searcher.running.clear()
+        delay_s = restart_s or self.rng.uniform(*RESTART_S)
+        callback = partial(
+            self.add_searcher, searcher.service, searcher.address
+        )
+        self.at(self.now + delay_s, callback)
 
     def crash_share(self, share):
-        """So many of all searchers end at the same moment."""
-        up = [one for one in self.searchers.values() if one.up]
-        for one in self.rng.sample(up, round(share * len(up))):
-            self.crash(one)
+        """Crashes a random share of all searchers at the same moment."""
+        up = [searcher for searcher in self.searchers.values() if searcher.up]
+        for searcher in self.rng.sample(up, round(share * len(up))):
+            self.crash(searcher)
 
 
-def hash_of(text):
-    """Returns the same number in each run."""
+def stable_hash(text):
+    """Returns a hash that is the same in each process."""
     return sum(text.encode())
--- a/bench/entry_costs.py
+++ b/bench/entry_costs.py
@@ -1,7 +1,7 @@
-"""Processor time of an entry for each send of a gather, on loopback.
+"""Measures an entry's processor time per attempt of a gather, on loopback.
 
 Run ``python -m bench.entry_costs [--profile]``. Searchers run in a second
-process; the entry's own time is measured.
+process, so that only the entry's processor time is counted.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 REPLICAS = 3
 REQUESTS = 1500
 BASE_PORT = 21300
-FRONT = "127.0.0.1:21290"
+CALLER_ADDRESS = "127.0.0.1:21290"
 BODY = b"0123456789abcdef" * 12
 
 
@@ -47,7 +47,7 @@
         pass
 
 
-def _searchers() -> None:
+def _run_searchers() -> None:
     async def main():
         for i in range(SHARDS * REPLICAS):
             address = f"127.0.0.1:{BASE_PORT + i}"
@@ -58,7 +58,7 @@
     asyncio.run(main())
 
 
-def _document() -> bytes:
+def _make_document() -> bytes:
     services = [f"s{i}" for i in range(SHARDS)]
     return json.dumps(
         {
@@ -82,13 +82,13 @@
     ).encode()
 
 
-async def _entry(profile: bool) -> None:
+async def _measure_entry(profile: bool) -> None:
     cfg = ServingSettings(
         instance="e1",
         data_centre="dc",
         peer_address="127.0.0.1:21289",
         seeds=(),
-        caller_address=FRONT,
+        caller_address=CALLER_ADDRESS,
         health_address="127.0.0.1:21291",
     )
     app = EntryApp(cfg, PlatformDialect())
@@ -110,15 +110,15 @@
     put(feed.LinkUp("c1"))
     put(Received("c1", feed.SearcherRows(1, True, rows)))
     reply = OpReply(
-        1, Code.CURRENT, version=1, packed=zlib.compress(_document())
+        1, Code.CURRENT, version=1, packed=zlib.compress(_make_document())
     )
     put(Received("c1", reply))
     await asyncio.sleep(0.5)
-    reader, writer = await asyncio.open_connection(*FRONT.split(":"))
+    reader, writer = await asyncio.open_connection(*CALLER_ADDRESS.split(":"))
     profiler = cProfile.Profile()
     if profile:
         profiler.enable()
-    began, at = time.process_time(), time.monotonic()
+    processor_start, wall_start = time.process_time(), time.monotonic()
     for i in range(REQUESTS):
         writer.write(
             b"GET /a HTTP/1.1\r\nHost: h\r\nRequest-Id: %d\r\n"
@@ -128,25 +128,25 @@
         assert head.startswith(b"HTTP/1.1 200"), head
         size = int(head.split(b"Content-Length: ")[1].split(b"\r\n")[0])
         await reader.readexactly(size)
-    spent = time.process_time() - began
+    processor_s = time.process_time() - processor_start
     profiler.disable()
     print(
-        f"{1e6 * spent / REQUESTS:.0f} us a gather of {SHARDS}, "
-        f"{1e6 * spent / REQUESTS / SHARDS:.0f} us a send; "
-        f"{1e3 * (time.monotonic() - at) / REQUESTS:.2f} ms wall"
+        f"{1e6 * processor_s / REQUESTS:.0f} us a gather of {SHARDS}, "
+        f"{1e6 * processor_s / REQUESTS / SHARDS:.0f} us a send; "
+        f"{1e3 * (time.monotonic() - wall_start) / REQUESTS:.2f} ms wall"
     )
     if profile:
         pstats.Stats(profiler).sort_stats("tottime").print_stats(45)
 
 
 def main() -> None:
-    """Measures and prints."""
+    """Runs the searchers and prints the costs of the entry."""
     log.set_up("ERROR", "bench")
-    other = multiprocessing.Process(target=_searchers, daemon=True)
-    other.start()
+    process = multiprocessing.Process(target=_run_searchers, daemon=True)
+    process.start()
     time.sleep(1.0)
-    asyncio.run(_entry("--profile" in sys.argv))
-    other.terminate()
+    asyncio.run(_measure_entry("--profile" in sys.argv))
+    process.terminate()
 
 
 if __name__ == "__main__":
--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -1,10 +1,11 @@
-"""Plays the deciders with and without one mechanism, on the same seeds.
+"""Runs the gather model with and without one mechanism, on the same seeds.
 
     python -m bench.experiment --sheet lockers --slow 0.35 --seeds 10
     python -m bench.experiment --without second-sends --without slowness
 
-Each row is one mechanism switched off: the mean of the paired differences of
-the share of credit, with a 95% confidence interval, and the sends a shard.
+Each row is one mechanism switched off: the mean paired difference of the
+credit per request with a 95% confidence interval, then the credit per request
+and the attempts per shard.
 """
 
 from __future__ import annotations
@@ -31,63 +32,63 @@
 T_95 = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26)
 """Student's t for a 95% interval, by degrees of freedom from 1 to 9."""
 NORMAL_95 = 1.96
-NEVER_S = 1e9
-AT_ONCE_S = 1e-6
+VERY_LONG_S = 1e9
+VERY_SHORT_S = 1e-6
 
 mechanisms: Registry = Registry("mechanism")
-"""Functions () -> (changes of ``Policy``, changes of module constants)."""
+"""Functions that return changes of ``Policy`` and of module constants."""
 
 Patch = tuple["ModuleType", str, object]
-Off = tuple[dict[str, float], list[Patch]]
+Overrides = tuple[dict[str, float], list[Patch]]
 
 
 @mechanisms.register("second-sends")
-def _second_sends() -> Off:
+def _second_sends() -> Overrides:
     return {"retry_ratio": 0.0, "retry_slack": 0.0}, []
 
 
 @mechanisms.register("slack")
-def _slack() -> Off:
+def _slack() -> Overrides:
     return {"retry_slack": 0.0}, []
 
 
 @mechanisms.register("late-by-medians")
-def _late_by_medians() -> Off:
+def _late_by_medians() -> Overrides:
     return {"hedge_medians": 100.0}, []
 
 
 @mechanisms.register("late-by-quantile")
-def _late_by_quantile() -> Off:
+def _late_by_quantile() -> Overrides:
     return {"hedge_quantile": 0.99}, []
 
 
 @mechanisms.register("slowness")
-def _slowness() -> Off:
-    return {}, [(choosing, "RELAX_S", AT_ONCE_S)]
+def _slowness() -> Overrides:
+    return {}, [(choosing, "RELAX_S", VERY_SHORT_S)]
 
 
 @mechanisms.register("rare-answers-count-more")
-def _rare_answers() -> Off:
-    return {}, [(timing, "MEMORY_S", NEVER_S)]
+def _weight_by_interval() -> Overrides:
+    return {}, [(timing, "MEMORY_S", VERY_LONG_S)]
 
 
 @mechanisms.register("pauses-seen")
-def _pauses_seen() -> Off:
-    return {}, [(choosing, "LATE_FACTOR", NEVER_S)]
+def _pauses_seen() -> Overrides:
+    return {}, [(choosing, "LATE_FACTOR", VERY_LONG_S)]
 
 
 @mechanisms.register("own-data-centre-first")
-def _own_data_centre() -> Off:
+def _own_data_centre() -> Overrides:
     return {}, [(choosing, "OTHER_DATA_CENTRE", 1.0)]
 
 
 @mechanisms.register("spread-of-costs")
-def _spread_of_costs() -> Off:
+def _spread_of_costs() -> Overrides:
     return {}, [(choosing, "NOISE", 0.0)]
 
 
 @mechanisms.register("waiting-for-a-place")
-def _waiting() -> Off:
+def _waiting() -> Overrides:
     def give_up(_, leg) -> None:
         leg.give_up()
 
@@ -95,8 +96,8 @@
 
 
 @contextmanager
-def patched(patches: list[Patch]) -> Iterator[None]:
-    """Changes constants of modules for a while."""
+def override_constants(patches: list[Patch]) -> Iterator[None]:
+    """Sets constants of modules and restores them on exit."""
     before = [
         (module, name, getattr(module, name)) for module, name, _ in patches
     ]
@@ -109,60 +110,81 @@
             setattr(module, name, value)
 
 
-def play(
-    sheet_name: str, slow: float, seeds: range, seconds: float, off: Off
+def run_variant(
+    sheet_name: str,
+    slow: float,
+    seeds: range,
+    seconds: float,
+    overrides: Overrides,
 ) -> list[Figures]:
-    """Plays one variant on all seeds."""
+    """Runs one variant on each seed."""
     sheet = next(sheet for sheet in SHEETS if sheet.name == sheet_name)
-    policy, patches = off
-    with patched(patches):
+    policy, patches = overrides
+    with override_constants(patches):
         return [
             Run(sheet, slow, seed, **policy).play(seconds) for seed in seeds
         ]
 
 
-def compare(base: list[Figures], other: list[Figures]) -> tuple[float, float]:
-    """Returns the mean difference of credit, and half of its interval."""
-    gaps = [
+def compare_paired(
+    base: list[Figures], other: list[Figures]
+) -> tuple[float, float]:
+    """Compares runs on the same seeds.
+
+    Returns the mean difference of the credit per request and the half width
+    of its 95% confidence interval.
+    """
+    differences = [
         two.credit / max(1, two.owed) - one.credit / max(1, one.owed)
         for one, two in zip(base, other, strict=True)
     ]
-    if len(gaps) < 2:
-        return gaps[0], math.inf
-    freedom = len(gaps) - 1
-    factor = T_95[freedom - 1] if freedom <= len(T_95) else NORMAL_95
-    half = factor * statistics.stdev(gaps) / math.sqrt(len(gaps))
-    return statistics.mean(gaps), half
+    if len(differences) < 2:
+        return differences[0], math.inf
+    degrees = len(differences) - 1
+    factor = T_95[degrees - 1] if degrees <= len(T_95) else NORMAL_95
+    half_width = (
+        factor * statistics.stdev(differences) / math.sqrt(len(differences))
+    )
+    return statistics.mean(differences), half_width
 
 
-def _row(
-    name: str, figures: list[Figures], tell: Callable[[str], None]
+def _write_row(
+    name: str, figures: list[Figures], write: Callable[[str], None]
 ) -> None:
     credit = statistics.mean(one.credit / max(1, one.owed) for one in figures)
     sends = sum(f.sends for f in figures) / max(
         1, sum(f.firsts for f in figures)
     )
-    tell(f"{name}: credit {credit:.4f}, {sends:.3f} sends a shard")
+    write(f"{name}: credit {credit:.4f}, {sends:.3f} sends a shard")
 
 
 def main(
-    sheet: Annotated[str, typer.Option(help="a name of SHEETS")] = "lockers",
+    sheet: Annotated[
+        str, typer.Option(help="name of a sheet in SHEETS")
+    ] = "lockers",
     slow: Annotated[float, typer.Option(help="share of slow searchers")] = 0.35,
     seeds: Annotated[int, typer.Option(help="number of seeds")] = 10,
-    seconds: Annotated[float, typer.Option(help="length of a play")] = 20.0,
+    seconds: Annotated[
+        float, typer.Option(help="simulated seconds of a run")
+    ] = 20.0,
     without: Annotated[
-        list[str] | None, typer.Option(help="mechanism; all if left out")
+        list[str] | None,
+        typer.Option(help="mechanism to switch off; all if left out"),
     ] = None,
 ) -> None:
-    """Prints a row for each mechanism that is switched off."""
-    drawn = range(1, seeds + 1)
-    base = play(sheet, slow, drawn, seconds, ({}, []))
-    _row(f"{sheet}, {slow:g} slow, {seeds} seeds", base, print)
+    """Prints a row for the base and for each mechanism switched off."""
+    seed_range = range(1, seeds + 1)
+    base = run_variant(sheet, slow, seed_range, seconds, ({}, []))
+    _write_row(f"{sheet}, {slow:g} slow, {seeds} seeds", base, print)
     for name in without or mechanisms.names():
-        print(f"playing without {name}", file=sys.stderr)
-        other = play(sheet, slow, drawn, seconds, mechanisms.get(name)())
-        mean, half = compare(base, other)
-        _row(f"without {name} {mean:+.4f} +/- {half:.4f}", other, print)
+        print(f"running without {name}", file=sys.stderr)
+        other = run_variant(
+            sheet, slow, seed_range, seconds, mechanisms.get(name)()
+        )
+        mean, half_width = compare_paired(base, other)
+        _write_row(
+            f"without {name} {mean:+.4f} +/- {half_width:.4f}", other, print
+        )
 
 
 if __name__ == "__main__":
--- a/bench/fits.py
+++ b/bench/fits.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured series."""
+"""Linear fits of measured series."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
     from collections.abc import Sequence
 
 
-def report(
-    what: str, xs: Sequence[float], ys: Sequence[float], unit: str
+def print_fit(
+    title: str, xs: Sequence[float], ys: Sequence[float], unit: str
 ) -> None:
-    """Prints a series and its straight line."""
+    """Prints a series, its linear fit and the largest error of the fit."""
     fit = statistics.linear_regression(xs, ys)
     errors = [
         abs(fit.slope * x + fit.intercept - y)
@@ -20,7 +20,7 @@
     ]
     points = ", ".join(f"{x:g}: {y:.4g}" for x, y in zip(xs, ys, strict=True))
     print(
-        f"{what}: {points} -> {fit.slope:.4g} a unit + {fit.intercept:.4g} "
+        f"{title}: {points} -> {fit.slope:.4g} a unit + {fit.intercept:.4g} "
         f"{unit} (largest error {max(errors):.2g})",
         flush=True,
     )
--- a/bench/gather_model.py
+++ b/bench/gather_model.py
@@ -1,4 +1,4 @@
-"""Sheets of the users, and searchers as they describe them."""
+"""Deployment sheets of the users, and searchers modelled after them."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 import attrs
 
 SPEEDS = (0.8, 1.0, 1.3)
-"""Work times of the three searchers of a shard, as both users' sheets say."""
+"""Relative work times of the three searchers of a shard, as in the sheets."""
 SLOW_FACTOR = 8.5
+"""Factor on work times during a slow period."""
 
 
 @attrs.frozen
-class Kind:
+class QueryKind:
     """One kind of query; times in seconds.
 
     Attributes:
-        per_s: over all entries.
-        work_s: mean work of one shard.
-        least: smallest share of shards that makes an answer.
+        per_s: queries per second over all entries.
+        work_s: mean work time of one shard.
+        least: minimum coverage of an answer, as a share of the shards.
     """
 
     name: str
@@ -33,24 +34,28 @@
 
 @attrs.frozen
 class Sheet:
-    """What a deployment's sheet says.
+    """Parameters of a deployment, from its sheet.
 
     Attributes:
-        pause_s, pause_every_s: each searcher stands still now and then.
-        noise_share, noise_factor, noise_s: neighbours slow a searcher down.
-        slack: second sends of all entries in ten seconds, beside 0.2 of the
-            requests.
-        caller_s: what a caller's clock runs outside its entry.
-        tells_slow: whether entries hear of searchers that others find slow.
-        leave_s: from when an answer is due until it has left its entry.
+        pause_s, pause_every_s: length of a searcher's pauses, and the mean
+            time between them, in seconds.
+        noise_share, noise_factor, noise_s: share of time in which noisy
+            neighbours slow a searcher down, by which factor, and for how many
+            seconds at a time.
+        slack: repeated attempts of all entries allowed in ten seconds, beside
+            0.2 of the requests.
+        caller_s: part of a caller's latency outside the entry, in seconds.
+        reports_slow_searchers: whether entries receive reports of searchers
+            that other entries find slow.
+        leave_s: seconds from when an answer is due until it is sent.
     """
 
     name: str
     entries: int
     shards: int
     slots: int
-    cap: int
-    kinds: tuple[Kind, ...]
+    connection_cap: int
+    kinds: tuple[QueryKind, ...]
     pause_s: float
     pause_every_s: float
     slack: float
@@ -59,7 +64,7 @@
     noise_s: float = 0.5
     leave_s: float = 0.0
     caller_s: float = 0.0
-    tells_slow: bool = False
+    reports_slow_searchers: bool = False
 
 
 SHEETS = (
@@ -68,10 +73,10 @@
         entries=9,
         shards=10,
         slots=5,
-        cap=41,
+        connection_cap=41,
         kinds=(
-            Kind("list", 67.5, 0.042, 0.247, 1.2, 0.89),
-            Kind("quick", 22.5, 0.0138, 0.0953, 0.5, 0.75),
+            QueryKind("list", 67.5, 0.042, 0.247, 1.2, 0.89),
+            QueryKind("quick", 22.5, 0.0138, 0.0953, 0.5, 0.75),
         ),
         pause_s=0.25,
         pause_every_s=6.0,
@@ -82,10 +87,10 @@
         entries=78,
         shards=36,
         slots=4,
-        cap=71,
+        connection_cap=71,
         kinds=(
-            Kind("list", 48.3, 0.042, 0.196, 1.233, 0.95),
-            Kind("quick", 16.1, 0.0138, 0.087, 0.528, 0.85),
+            QueryKind("list", 48.3, 0.042, 0.196, 1.233, 0.95),
+            QueryKind("quick", 16.1, 0.0138, 0.087, 0.528, 0.85),
         ),
         pause_s=0.25,
         pause_every_s=6.0,
@@ -97,10 +102,10 @@
         entries=8,
         shards=10,
         slots=2,
-        cap=26,
+        connection_cap=26,
         kinds=(
-            Kind("history", 67.5, 0.0165, 0.118, 0.6, 0.89),
-            Kind("check", 22.5, 0.0057, 0.0563, 0.3, 0.75),
+            QueryKind("history", 67.5, 0.0165, 0.118, 0.6, 0.89),
+            QueryKind("check", 22.5, 0.0057, 0.0563, 0.3, 0.75),
         ),
         pause_s=0.12,
         pause_every_s=3.0,
@@ -111,10 +116,10 @@
         entries=8,
         shards=10,
         slots=3,
-        cap=31,
+        connection_cap=31,
         kinds=(
-            Kind("sweep", 67.6, 0.0225, 0.145, 0.8, 0.89),
-            Kind("code", 22.5, 0.0075, 0.0683, 0.3, 0.75),
+            QueryKind("sweep", 67.6, 0.0225, 0.145, 0.8, 0.89),
+            QueryKind("code", 22.5, 0.0075, 0.0683, 0.3, 0.75),
         ),
         pause_s=0.15,
         pause_every_s=3.6,
@@ -125,25 +130,25 @@
         entries=191,
         shards=42,
         slots=3,
-        cap=123,
+        connection_cap=123,
         kinds=(
-            Kind("list", 37.7, 0.042, 0.251, 1.223, 0.95),
-            Kind("quick", 12.6, 0.0138, 0.099, 0.52, 0.85),
+            QueryKind("list", 37.7, 0.042, 0.251, 1.223, 0.95),
+            QueryKind("quick", 12.6, 0.0138, 0.099, 0.52, 0.85),
         ),
         pause_s=0.25,
         pause_every_s=6.0,
         slack=422.0,
         leave_s=0.006,
         caller_s=0.012,
-        tells_slow=True,
+        reports_slow_searchers=True,
     ),
 )
-"""The users' sheets; of the grown one the objectives are less what a gather
-takes on an entry's link of 7 Mbit/s."""
+"""The users' sheets. Objectives of the grown one are reduced by the transfer
+time of a gather on an entry's link of 7 Mbit/s."""
 
 
 class ModelSearcher:
-    """Slots, a queue, pauses, neighbours and a slow spell."""
+    """A searcher with slots, pauses, noisy neighbours and a slow period."""
 
     def __init__(self, sheet: Sheet, speed: float, rng: random.Random):
         self.sheet = sheet
@@ -151,21 +156,21 @@
         self.rng = rng
         self.running: set[int] = set()
         self.queue: deque[tuple[int, float]] = deque()
-        self.slow_from = math.inf
-        self.slow_until = math.inf
-        self.pauses = self._draw_pauses()
-        self.noisy_until = 0.0
-        self.quiet_until = self._draw_quiet(0.0)
-
-    def _draw_pauses(self) -> deque[float]:
-        at, every = 0.0, self.sheet.pause_every_s
-        begins = deque()
-        while at < 120.0:
-            at += every * self.rng.uniform(0.5, 1.5)
-            begins.append(at)
-        return begins
-
-    def _draw_quiet(self, now: float) -> float:
+        self.slow_start = math.inf
+        self.slow_end = math.inf
+        self.pause_starts = self._draw_pause_starts()
+        self.noise_end = 0.0
+        self.quiet_end = self._draw_quiet_end(0.0)
+
+    def _draw_pause_starts(self) -> deque[float]:
+        start, interval_s = 0.0, self.sheet.pause_every_s
+        starts = deque()
+        while start < 120.0:
+            start += interval_s * self.rng.uniform(0.5, 1.5)
+            starts.append(start)
+        return starts
+
+    def _draw_quiet_end(self, now: float) -> float:
         share = self.sheet.noise_share
         if not share:
             return math.inf
@@ -173,24 +178,27 @@
         return now + self.rng.expovariate(1 / mean)
 
     def factor(self, now: float) -> float:
-        """Returns how much longer work takes at this moment."""
+        """Returns the factor on work times at a time."""
         factor = self.speed
-        if now >= self.quiet_until:
-            self.noisy_until = now + self.sheet.noise_s
-            self.quiet_until = self._draw_quiet(self.noisy_until)
-        if now < self.noisy_until:
+        if now >= self.quiet_end:
+            self.noise_end = now + self.sheet.noise_s
+            self.quiet_end = self._draw_quiet_end(self.noise_end)
+        if now < self.noise_end:
             factor *= self.sheet.noise_factor
-        if self.slow_from <= now < self.slow_until:
+        if self.slow_start <= now < self.slow_end:
             factor *= SLOW_FACTOR
         return factor
 
-    def end_of(self, now: float, work_s: float) -> float:
-        """Returns when work that begins now ends; pauses stretch it."""
+    def end_time(self, now: float, work_s: float) -> float:
+        """Returns when work that starts now ends, pauses included."""
         end = now + work_s * self.factor(now)
-        while self.pauses and self.pauses[0] + self.sheet.pause_s < now:
-            self.pauses.popleft()
-        for begin in self.pauses:
-            if begin >= end:
+        while (
+            self.pause_starts
+            and self.pause_starts[0] + self.sheet.pause_s < now
+        ):
+            self.pause_starts.popleft()
+        for start in self.pause_starts:
+            if start >= end:
                 break
-            end += begin + self.sheet.pause_s - max(begin, now)
+            end += start + self.sheet.pause_s - max(start, now)
         return end
--- a/bench/gathers.py
+++ b/bench/gathers.py
@@ -1,10 +1,11 @@
-"""Gathers over many shards against modelled searchers, under a fake clock.
-
-Runs the very deciders of some entries against searchers with slots, queues,
-pauses, neighbours and slow spells. Same seed, same figures; it tells policies
-apart in seconds, and no machine's load shows in it.
+"""Simulates gathers over many shards, for comparisons of policies.
 
     python -m bench.gathers
+
+Runs the real forward deciders of several entries, on a simulated clock,
+against modelled searchers with slots, queues, pauses, noisy neighbours and
+slow periods. The same seed gives the same figures, whatever the load of the
+machine.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 import attrs
 
-from bench.gather_model import SHEETS, SPEEDS, Kind, ModelSearcher, Sheet
+from bench.gather_model import SHEETS, SPEEDS, ModelSearcher, QueryKind, Sheet
 from greengagemoor.feed.messages import (
     SearcherKey,
     SearcherLearnt,
@@ -41,17 +42,27 @@
 
 TAIL_SHARE = 0.01
 TAIL_FACTOR = 5.0
-SIGMA = 0.35
-QUEUE = 30
-TRIP_S = 0.0015
-"""One way between an entry and a searcher."""
+WORK_SIGMA = 0.35
+QUEUE_LIMIT = 30
+ONE_WAY_S = 0.0015
+"""One-way delay between an entry and a searcher."""
 LATE_CREDIT = 0.1
-WARM_S = 5.0
+"""Share of the credit that an answer after its objective gets."""
+WARM_UP_S = 5.0
 
 
 @attrs.define
 class Figures:
-    """What callers got."""
+    """Results of a run.
+
+    Attributes:
+        owed: requests after the warm-up.
+        in_time: answers within the objective.
+        whole: answers that include all shards.
+        credit: sum over answers of the squared coverage, reduced if late.
+        sends: attempts.
+        firsts: shards of all requests, each of which needs one attempt.
+    """
 
     owed: int = 0
     in_time: int = 0
@@ -60,8 +71,8 @@
     sends: int = 0
     firsts: int = 0
 
-    def line(self) -> str:
-        """Returns one row of the table."""
+    def format_row(self) -> str:
+        """Returns a row of the table."""
         owed = max(1, self.owed)
         return (
             f"{self.credit / owed:.3f} {self.in_time / owed:.3f}"
@@ -70,41 +81,41 @@
 
 
 class Run:
-    """One sheet, one policy, one seed."""
+    """A simulation of one sheet with one policy and one seed."""
 
     def __init__(
         self, sheet: Sheet, slow_share: float, seed: int, **policy: float
     ):
-        """Prepares.
+        """Creates entries and searchers.
 
         Args:
             sheet: the deployment.
-            slow_share: share of the searchers that is slow in the middle.
-            seed: same seed, same figures.
-            **policy: changes of ``Policy``.
+            slow_share: share of searchers that are slow from 10 s to 20 s.
+            seed: seed of all random choices.
+            **policy: fields of ``Policy`` that differ from the default.
         """
         self.sheet = sheet
         self.rng = random.Random(seed)
         self.figures = Figures()
         self._ids = count()
-        self._heap: list = []
-        self._jobs: dict = {}
-        self._work: dict[tuple[int, int], float] = {}
+        self._events: list = []
+        self._requests: dict = {}
+        self._work_s: dict[tuple[int, int], float] = {}
         self._searchers = self._make_searchers(slow_share)
         slack = {"retry_slack": 0.85 * sheet.slack, **policy}
         self._entries = [
             ForwardDecider("dc0", random.Random(seed + i), Policy(**slack))
             for i in range(sheet.entries)
         ]
-        self._slow = SlowTable()
-        self._reports: dict[int, set[SearcherKey]] = {}
-        self._routes = [self._route(kind) for kind in sheet.kinds]
-        self._wakes = [math.inf] * sheet.entries
+        self._slow_table = SlowTable()
+        self._slow_reports: dict[int, set[SearcherKey]] = {}
+        self._routes = [self._make_route(kind) for kind in sheet.kinds]
+        self._wake_times = [math.inf] * sheet.entries
 
-    def _names(self) -> tuple[str, ...]:
+    def _service_names(self) -> tuple[str, ...]:
         return tuple(f"s{i}" for i in range(self.sheet.shards))
 
-    def _route(self, kind: Kind) -> Route:
+    def _make_route(self, kind: QueryKind) -> Route:
         return Route(
             name=kind.name,
             host="h",
@@ -115,36 +126,41 @@
             rank=1,
             attempts=2,
             split=(),
-            gather=Gather(self._names(), 10, kind.least),
+            gather=Gather(self._service_names(), 10, kind.least),
         )
 
     def _make_searchers(self, slow_share: float) -> dict[str, ModelSearcher]:
-        made = {}
-        for name in self._names():
+        searchers = {}
+        for name in self._service_names():
             for i, speed in enumerate(SPEEDS):
-                made[f"{name}.{i}"] = one = ModelSearcher(
+                searchers[f"{name}.{i}"] = one = ModelSearcher(
                     self.sheet, speed, self.rng
                 )
                 if self.rng.random() < slow_share:
-                    one.slow_from, one.slow_until = 10.0, 20.0
-        return made
+                    one.slow_start, one.slow_end = 10.0, 20.0
+        return searchers
 
     def play(self, seconds: float = 30.0) -> Figures:
-        """Plays it and returns what callers got after a warm start."""
-        self._introduce()
+        """Runs the simulation; returns the results after the warm-up."""
+        self._set_up_entries()
         for route, kind in zip(self._routes, self.sheet.kinds, strict=True):
-            at = 0.0
-            while at < seconds:
-                at += self.rng.expovariate(kind.per_s)
-                self._push(at, self._arrive, route, kind, at > WARM_S)
-        while self._heap:
-            now, _, call, args = heapq.heappop(self._heap)
-            call(now, *args)
+            time = 0.0
+            while time < seconds:
+                time += self.rng.expovariate(kind.per_s)
+                self._schedule(
+                    time, self._receive_request, route, kind, time > WARM_UP_S
+                )
+        while self._events:
+            now, _, callback, args = heapq.heappop(self._events)
+            callback(now, *args)
         return self.figures
 
-    def _introduce(self) -> None:
-        names = self._names()
-        rules = {name: ServiceRules(name, self.sheet.cap) for name in names}
+    def _set_up_entries(self) -> None:
+        names = self._service_names()
+        rules = {
+            name: ServiceRules(name, self.sheet.connection_cap)
+            for name in names
+        }
         table = RouteTable(1, (), rules, CallerLimits())
         for entry in self._entries:
             entry.set_routes(table)
@@ -165,15 +181,15 @@
             ]
             entry.step(0.0, [SearcherLearnt(row) for row in rows])
 
-    def _push(self, at: float, call, *args) -> None:
-        heapq.heappush(self._heap, (at, next(self._ids), call, args))
+    def _schedule(self, time: float, callback, *args) -> None:
+        heapq.heappush(self._events, (time, next(self._ids), callback, args))
 
-    def _arrive(
-        self, now: float, route: Route, kind: Kind, counted: bool
+    def _receive_request(
+        self, now: float, route: Route, kind: QueryKind, counted: bool
     ) -> None:
         entry = self.rng.randrange(self.sheet.entries)
         token = next(self._ids)
-        self._jobs[token] = (kind, counted)
+        self._requests[token] = (kind, counted)
         if counted:
             self.figures.owed += 1
             self.figures.firsts += self.sheet.shards
@@ -183,117 +199,129 @@
     def _step(self, now: float, index: int, msgs: list) -> None:
         entry = self._entries[index]
         for msg in entry.step(now, msgs):
-            self._act(now, index, msg)
+            self._handle_output(now, index, msg)
         wake = entry.next_wake()
         if wake is not None and (
-            wake < self._wakes[index] or self._wakes[index] <= now
+            wake < self._wake_times[index] or self._wake_times[index] <= now
         ):
-            self._wakes[index] = wake
-            self._push(max(wake, now), self._wake, index)
+            self._wake_times[index] = wake
+            self._schedule(max(wake, now), self._wake, index)
 
     def _wake(self, now: float, index: int) -> None:
-        if now >= self._wakes[index]:
-            self._wakes[index] = math.inf
+        if now >= self._wake_times[index]:
+            self._wake_times[index] = math.inf
             self._step(now, index, [])
 
-    def _act(self, now: float, index: int, msg: object) -> None:
+    def _handle_output(self, now: float, index: int, msg: object) -> None:
         if isinstance(msg, m.StartAttempt):
             key = (index, msg.attempt_id)
-            kind, counted = self._jobs[msg.token]
+            kind, counted = self._requests[msg.token]
             self.figures.sends += counted
-            self._work[key] = self._draw_work(kind)
-            self._push(now + TRIP_S, self._reach, key, msg.searcher_id)
+            self._work_s[key] = self._draw_work(kind)
+            self._schedule(
+                now + ONE_WAY_S, self._receive_attempt, key, msg.searcher_id
+            )
         elif isinstance(msg, m.CancelAttempt):
             key = (index, msg.attempt_id)
-            self._push(now + TRIP_S, self._drop, key)
-        elif isinstance(msg, SlowSeen) and self.sheet.tells_slow:
-            self._note_slow(now, index, msg.searcher)
+            self._schedule(now + ONE_WAY_S, self._cancel_attempt, key)
+        elif isinstance(msg, SlowSeen) and self.sheet.reports_slow_searchers:
+            self._collect_slow_report(now, index, msg.searcher)
         elif isinstance(msg, m.Respond):
-            self._take_answer(msg)
-            left = now + self.sheet.leave_s
-            self._push(left, self._leave, index, msg.due_at)
+            self._record_answer(msg)
+            sent_at = now + self.sheet.leave_s
+            self._schedule(sent_at, self._report_delay, index, msg.due_at)
 
-    def _leave(self, now: float, index: int, due_at: float) -> None:
+    def _report_delay(self, now: float, index: int, due_at: float) -> None:
         self._step(now, index, [m.AnswerLeft(now - due_at)])
 
-    def _note_slow(self, now: float, index: int, key: SearcherKey) -> None:
-        """Collects what an entry finds slow, as its view does."""
-        if index not in self._reports:
-            self._reports[index] = set()
-            self._push(now + REPORT_EVERY_S, self._report, index)
-        self._reports[index].add(key)
-
-    def _report(self, now: float, index: int) -> None:
-        """A control instance takes a report; all entries hear of it."""
-        for key in sorted(self._reports.pop(index), key=str):
-            avoid_s = self._slow.note(now, key)
+    def _collect_slow_report(
+        self, now: float, index: int, key: SearcherKey
+    ) -> None:
+        """Adds a searcher to the next report of an entry, as its view does."""
+        if index not in self._slow_reports:
+            self._slow_reports[index] = set()
+            self._schedule(
+                now + REPORT_EVERY_S, self._distribute_slow_report, index
+            )
+        self._slow_reports[index].add(key)
+
+    def _distribute_slow_report(self, now: float, index: int) -> None:
+        """Handles a report as a control instance does: notifies all entries."""
+        for key in sorted(self._slow_reports.pop(index), key=str):
+            avoid_s = self._slow_table.note(now, key)
             if avoid_s is None:
                 continue
             for entry in range(self.sheet.entries):
-                told = [SlowSearchers((key,), avoid_s)]
-                self._push(now + 2 * TRIP_S, self._step, entry, told)
+                slow = [SlowSearchers((key,), avoid_s)]
+                self._schedule(now + 2 * ONE_WAY_S, self._step, entry, slow)
 
-    def _draw_work(self, kind: Kind) -> float:
-        mean = kind.work_s * math.exp(-(SIGMA**2) / 2)
-        work = mean * math.exp(self.rng.gauss(0.0, SIGMA))
+    def _draw_work(self, kind: QueryKind) -> float:
+        mean = kind.work_s * math.exp(-(WORK_SIGMA**2) / 2)
+        work = mean * math.exp(self.rng.gauss(0.0, WORK_SIGMA))
         return work * (TAIL_FACTOR if self.rng.random() < TAIL_SHARE else 1.0)
 
-    def _reach(self, now: float, key: tuple, searcher_id: str) -> None:
-        if key not in self._work:
+    def _receive_attempt(
+        self, now: float, key: tuple, searcher_id: str
+    ) -> None:
+        if key not in self._work_s:
             return
         searcher = self._searchers[searcher_id]
         if len(searcher.running) < self.sheet.slots:
-            self._begin(now, key, searcher)
-        elif len(searcher.queue) < QUEUE:
+            self._start_work(now, key, searcher)
+        elif len(searcher.queue) < QUEUE_LIMIT:
             searcher.queue.append(key)
         else:
             self._reply(now, key, searcher, m.Outcome.NOT_RUN)
 
-    def _begin(self, now: float, key: tuple, searcher: ModelSearcher) -> None:
+    def _start_work(
+        self, now: float, key: tuple, searcher: ModelSearcher
+    ) -> None:
         searcher.running.add(key)
-        end = searcher.end_of(now, self._work[key])
-        self._push(end, self._end, key, searcher)
+        end = searcher.end_time(now, self._work_s[key])
+        self._schedule(end, self._finish_work, key, searcher)
 
-    def _end(self, now: float, key: tuple, searcher: ModelSearcher) -> None:
+    def _finish_work(
+        self, now: float, key: tuple, searcher: ModelSearcher
+    ) -> None:
         if key not in searcher.running:
             return
         searcher.running.discard(key)
         self._reply(now, key, searcher, m.Outcome.ANSWERED)
-        self._next(now, searcher)
+        self._start_queued(now, searcher)
 
-    def _next(self, now: float, searcher: ModelSearcher) -> None:
+    def _start_queued(self, now: float, searcher: ModelSearcher) -> None:
         while searcher.queue and len(searcher.running) < self.sheet.slots:
             key = searcher.queue.popleft()
-            if key in self._work:
-                self._begin(now, key, searcher)
+            if key in self._work_s:
+                self._start_work(now, key, searcher)
 
-    def _drop(self, now: float, key: tuple) -> None:
-        self._work.pop(key, None)
+    def _cancel_attempt(self, now: float, key: tuple) -> None:
+        self._work_s.pop(key, None)
         for searcher in self._searchers.values():
             if key in searcher.running:
                 searcher.running.discard(key)
-                self._next(now, searcher)
+                self._start_queued(now, searcher)
                 return
 
     def _reply(
         self, now: float, key: tuple, searcher: ModelSearcher, outcome
     ) -> None:
-        if self._work.pop(key, None) is None:
+        if self._work_s.pop(key, None) is None:
             return
         load = m.SearcherLoad(
             len(searcher.running), len(searcher.queue), self.sheet.slots
         )
         answer = m.SearcherAnswer(200, "signed", (), b"", load=load)
         ended = m.AttemptEnded(key[1], outcome, answer)
-        self._push(now + TRIP_S, self._step, key[0], [ended])
+        self._schedule(now + ONE_WAY_S, self._step, key[0], [ended])
 
-    def _take_answer(self, msg: m.Respond) -> None:
-        kind, counted = self._jobs.pop(msg.token)
+    def _record_answer(self, msg: m.Respond) -> None:
+        kind, counted = self._requests.pop(msg.token)
         if not counted or msg.merged is None:
             return
         share = 1.0 - msg.merged.missing / self.sheet.shards
-        outside = self.sheet.caller_s + self.sheet.leave_s
-        in_time = msg.elapsed_s + outside <= kind.objective_s
+        outside_s = self.sheet.caller_s + self.sheet.leave_s
+        in_time = msg.elapsed_s + outside_s <= kind.objective_s
         self.figures.in_time += in_time
         self.figures.whole += not msg.merged.missing
         self.figures.credit += share**2 * (1.0 if in_time else LATE_CREDIT)
@@ -316,7 +344,7 @@
         for load, share in SLOW_SHARES.items():
             for name, changes in POLICIES.items():
                 figures = Run(sheet, share, seed=1, **changes).play()
-                print(f"{sheet.name} {load} {name}: {figures.line()}")
+                print(f"{sheet.name} {load} {name}: {figures.format_row()}")
 
 
 if __name__ == "__main__":
--- a/bench/many.py
+++ b/bench/many.py
@@ -1,4 +1,4 @@
-"""Many membership deciders in one process, with every byte counted."""
+"""Runs many membership deciders in one process and counts their bytes."""
 
 from __future__ import annotations
 
@@ -21,44 +21,46 @@
 from greengagemoor.membership.state import Timing
 from greengagemoor.wire import codec
 
-NEAR_S = 0.0005
-FAR_S = 0.02
+SAME_REGION_DELAY_S = 0.0005
+OTHER_REGION_DELAY_S = 0.02
 DATA_CENTRES = 6
 REGIONS = 2
-INTERVAL_S = 1.0
-# HTTP/2 and grpc frames, headers after compression, TCP and IP, for the
-# request and its receipt; an estimate, added to the measured batch.
-FRAME_BYTES = 220
+GOSSIP_INTERVAL_S = 1.0
+FRAMING_BYTES = 220
+"""Estimated overhead of a message and its receipt beside the batch: HTTP/2 and
+gRPC frames, compressed headers, TCP and IP."""
 
 
 @attrs.define
 class Cost:
-    """What a node spent."""
+    """Bytes and messages sent by an instance, and its processor time."""
 
     bytes: int = 0
     messages: int = 0
     seconds: float = 0.0
 
 
-class Many:
-    """Nodes over data centres and regions, driven by one event heap."""
+class MembershipModel:
+    """Instances in data centres and regions, simulated with an event heap."""
 
-    def __init__(self, nodes: int, servers: int = 0, seed: int = 1):
+    def __init__(self, instances: int, servers: int = 0, seed: int = 1):
         self.now = 0.0
         self.rng = random.Random(seed)
         self._events: list[tuple] = []
         self._ids = count()
-        self._wakes: dict[str, float] = {}
+        self._wake_times: dict[str, float] = {}
         self.costs: dict[str, Cost] = {}
-        self.nodes: dict[str, MembershipDecider] = {}
+        self.deciders: dict[str, MembershipDecider] = {}
         self.cut_regions = False
-        self.down: set[str] = set()
-        self.rows = [self._instance(i) for i in range(nodes)]
-        self.servers = [make_server(i, nodes) for i in range(servers)]
-        for row in self.rows:
-            self._add(row)
+        self.stopped: set[str] = set()
+        self.instance_rows = [
+            self._make_instance_row(i) for i in range(instances)
+        ]
+        self.servers = [make_server_row(i, instances) for i in range(servers)]
+        for row in self.instance_rows:
+            self._add_instance(row)
 
-    def _instance(self, index: int) -> InstanceRow:
+    def _make_instance_row(self, index: int) -> InstanceRow:
         data_centre = index % DATA_CENTRES
         return InstanceRow(
             name=f"n{index}",
@@ -72,15 +74,18 @@
             roles=(),
         )
 
-    def _add(self, row: InstanceRow) -> None:
+    def _add_instance(self, row: InstanceRow) -> None:
         decider = MembershipDecider(
             row,
             {},
             random.Random(self.rng.getrandbits(32)),
-            Timing(interval=INTERVAL_S),
+            Timing(interval=GOSSIP_INTERVAL_S),
         )
         state = decider.state
-        for other in (*self.rows, *(ServerRow(s) for s in self.servers)):
+        for other in (
+            *self.instance_rows,
+            *(ServerRow(s) for s in self.servers),
+        ):
             state.table.merge(other, 0.0)
         state.read_version = 0
         state.caught_up = True
@@ -88,41 +93,41 @@
         state.fresh_at = 0.0
         state.hot.clear()
         state.changed.clear()
-        state.round_at = self.rng.random() * INTERVAL_S
-        self.nodes[row.name] = decider
+        state.round_at = self.rng.random() * GOSSIP_INTERVAL_S
+        self.deciders[row.name] = decider
         self.costs[row.name] = Cost()
-        self._wake(row.name, state.round_at)
+        self._schedule_wake(row.name, state.round_at)
 
-    def _wake(self, name: str, at: float) -> None:
-        if at < self._wakes.get(name, float("inf")):
-            self._wakes[name] = at
-            heapq.heappush(self._events, (at, next(self._ids), name, ()))
+    def _schedule_wake(self, name: str, due_at: float) -> None:
+        if due_at < self._wake_times.get(name, float("inf")):
+            self._wake_times[name] = due_at
+            heapq.heappush(self._events, (due_at, next(self._ids), name, ()))
 
-    def put(self, name: str, msg: object, after: float = 0.0) -> None:
-        """Hands a message to a node."""
-        event = (self.now + after, next(self._ids), name, (msg,))
+    def deliver(self, name: str, msg: object, delay_s: float = 0.0) -> None:
+        """Schedules a message to an instance."""
+        event = (self.now + delay_s, next(self._ids), name, (msg,))
         heapq.heappush(self._events, event)
 
     def run(self, seconds: float) -> None:
-        """Runs all events of the next seconds."""
+        """Runs the simulation for a number of seconds."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
-            at, _, name, msgs = heapq.heappop(self._events)
-            self.now = max(at, self.now)
+            due_at, _, name, msgs = heapq.heappop(self._events)
+            self.now = max(due_at, self.now)
             if not msgs:
-                if self._wakes.get(name) != at:
+                if self._wake_times.get(name) != due_at:
                     continue
-                del self._wakes[name]
-            if name not in self.down:
+                del self._wake_times[name]
+            if name not in self.stopped:
                 self._step(name, msgs)
         self.now = until
 
     def _step(self, name: str, msgs: tuple) -> None:
-        decider = self.nodes[name]
+        decider = self.deciders[name]
         cost = self.costs[name]
         start = time.perf_counter()
-        # Freshness comes from the control group; without one it is renewed
-        # here, so that every node goes on as if confirmed.
+        # No control group runs here to renew freshness, so it is renewed
+        # before each step, as if the instance had been confirmed.
         decider.state.fresh_at = self.now
         out = decider.step(self.now, msgs)
         sends = [msg for msg in out if isinstance(msg, Send)]
@@ -132,60 +137,62 @@
         ]
         cost.seconds += time.perf_counter() - start
         for msg, size in zip(sends, sizes, strict=True):
-            cost.bytes += size + FRAME_BYTES
+            cost.bytes += size + FRAMING_BYTES
             cost.messages += 1
-            self._carry(name, msg)
-        self._wake(name, max(decider.next_wake(), self.now + 1e-4))
+            self._transmit(name, msg)
+        self._schedule_wake(name, max(decider.next_wake(), self.now + 1e-4))
 
-    def _carry(self, name: str, msg: Send) -> None:
-        if msg.to not in self.nodes:
+    def _transmit(self, name: str, msg: Send) -> None:
+        if msg.to not in self.deciders:
             return
-        here, there = (self.nodes[n].state.me for n in (name, msg.to))
-        far = here.region != there.region
-        if self.cut_regions and far:
+        sender, receiver = (self.deciders[n].state.me for n in (name, msg.to))
+        crosses_regions = sender.region != receiver.region
+        if self.cut_regions and crosses_regions:
             return
-        delay = FAR_S if far else NEAR_S
-        self.put(msg.to, Received(name, msg.payload, here.peer_address), delay)
+        delay = OTHER_REGION_DELAY_S if crosses_regions else SAME_REGION_DELAY_S
+        self.deliver(
+            msg.to, Received(name, msg.payload, sender.peer_address), delay
+        )
 
     def reset_costs(self) -> None:
-        """Starts counting anew."""
-        self.costs = {name: Cost() for name in self.nodes}
+        """Sets all costs to zero."""
+        self.costs = {name: Cost() for name in self.deciders}
 
-    def mean(self) -> Cost:
-        """Returns the mean cost of a node."""
+    def mean_cost(self) -> Cost:
+        """Returns the mean cost of an instance."""
         costs = self.costs.values()
-        number = len(self.nodes)
+        instance_count = len(self.deciders)
         return Cost(
-            bytes=sum(c.bytes for c in costs) / number,
-            messages=sum(c.messages for c in costs) / number,
-            seconds=sum(c.seconds for c in costs) / number,
+            bytes=sum(c.bytes for c in costs) / instance_count,
+            messages=sum(c.messages for c in costs) / instance_count,
+            seconds=sum(c.seconds for c in costs) / instance_count,
         )
 
-    def worst_bytes(self) -> float:
-        """Returns the bytes of the node that sent most."""
+    def max_bytes(self) -> float:
+        """Returns the largest number of bytes that an instance sent."""
         return max(c.bytes for c in self.costs.values())
 
     def change_server(self, index: int) -> ServerRow:
-        """Has one server raise its sequence, at its first guardian."""
+        """Increments a server's sequence at the first entry it announces to."""
         server = self.servers[index]
         server = attrs.evolve(server, sequence=server.sequence + 1)
         self.servers[index] = server
-        guardian = server.announced_to[0]
+        entry = server.announced_to[0]
         row = ServerRow(server)
-        self.nodes[guardian].state.now = self.now
-        self.nodes[guardian].state.take_row(row)
+        self.deciders[entry].state.now = self.now
+        self.deciders[entry].state.take_row(row)
         return row
 
-    def knowing(self, row: ServerRow) -> int:
-        """Returns how many nodes have a row at its order or later."""
+    def count_holding(self, row: ServerRow) -> int:
+        """Returns how many instances hold this row or a later one."""
         return sum(
-            node.state.table.rows[row.key].order >= row.order
-            for node in self.nodes.values()
+            decider.state.table.rows[row.key].order >= row.order
+            for decider in self.deciders.values()
         )
 
 
-def make_server(index: int, nodes: int) -> BackendServer:
-    """Returns one searcher's row, with two guardians."""
+def make_server_row(index: int, instances: int) -> BackendServer:
+    """Returns the row of a searcher that announces itself to two entries."""
     data_centre = index % DATA_CENTRES
     return BackendServer(
         name=f"searcher-{index}",
@@ -200,5 +207,5 @@
         ),
         slots=4,
         connection_cap=45,
-        announced_to=(f"n{index % nodes}", f"n{(index + 1) % nodes}"),
+        announced_to=(f"n{index % instances}", f"n{(index + 1) % instances}"),
     )
--- a/bench/model.py
+++ b/bench/model.py
@@ -1,4 +1,4 @@
-"""The policy bench: query deciders over a seeded event heap."""
+"""Simulation of query deciders for the policy benchmark."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import attrs
 
-from bench.searchers import Job, StandIn, mean_work
+from bench.searchers import Job, SimulatedSearcher, mean_work_s
 from greengagemoor.backends import BackendServer, HeldVersion, ServerState
 from greengagemoor.codes import Code
 from greengagemoor.document import parse_document
@@ -30,17 +30,22 @@
     from collections.abc import Callable
 
 ENTRIES = 8
-PLACES = 10
+CONNECTION_PLACES = 10
 SHARDS = 6
-NEAR_S = 0.00025
-CALLER_CLASS = "read"
-SPIKE = (3.0, 6.0)
+SAME_DATA_CENTRE_DELAY_S = 0.00025
+REQUEST_CLASS = "read"
+SPIKE_S = (3.0, 6.0)
+"""Start and end of a load spike."""
 SPIKING_CALLER = "c0"
 
 
 @attrs.frozen
-class Kind:
-    """A kind of service of the brief; times in seconds."""
+class ServiceKind:
+    """A kind of service of the brief; times in seconds.
+
+    Attributes:
+        far_s: one-way delay between data centres.
+    """
 
     name: str
     searchers: int
@@ -53,31 +58,51 @@
 
     @property
     def capacity(self) -> float:
-        """Queries a second that the slots can work off at the best cover."""
-        shards_each = SHARDS / covering(self.searchers)
-        work = covering(self.searchers) * mean_work(shards_each)
+        """Queries per second that all slots can process.
+
+        Assumes that each query uses the fewest searchers that hold all shards.
+        """
+        shards_each = SHARDS / covering_searchers(self.searchers)
+        work = covering_searchers(self.searchers) * mean_work_s(shards_each)
         return self.searchers * self.slots / work
 
 
-def covering(searchers: int) -> int:
-    """Returns how many searchers hold all shards, each shard on two."""
+def covering_searchers(searchers: int) -> int:
+    """Returns the fewest searchers that hold all shards, each on two."""
     return max(1, (searchers + 1) // 2)
 
 
 @attrs.frozen
 class Policy:
-    """A row of the comparison: fields of service and request class."""
+    """A policy of the comparison.
+
+    Attributes:
+        service: settings of the service that differ from the default.
+        request_class: settings of the request class that differ.
+        shares_cap: whether each entry keeps to its share of a connection cap.
+        steered: whether callers use the two entries preferred for the service.
+    """
 
     name: str
     service: dict = attrs.field(factory=dict)
     request_class: dict = attrs.field(factory=dict)
-    shares: bool = True
+    shares_cap: bool = True
     steered: bool = True
 
 
 @attrs.define
 class Outcome:
-    """What callers got."""
+    """Results of a run, as callers see them.
+
+    Attributes:
+        latencies: seconds of each whole or partial answer.
+        coverage: sum of the coverage of these answers.
+        late: requests without an answer in time, or failed ones.
+        wrong: answers that mix versions or claim results they lack.
+        whole_in_spike: whole answers during the spike.
+        others_sent, others_whole: requests of the callers without a spike that
+            were sent during the spike, and whole answers to them.
+    """
 
     latencies: list[float] = attrs.field(factory=list)
     coverage: float = 0.0
@@ -93,9 +118,9 @@
 
 
 class Bench:
-    """Entries, searchers, callers and the time that passes between them."""
+    """Simulates entries, searchers and callers on an event heap."""
 
-    def __init__(self, kind: Kind, policy: Policy, seed: int):
+    def __init__(self, kind: ServiceKind, policy: Policy, seed: int):
         self.kind = kind
         self.policy = policy
         self.now = 0.0
@@ -103,8 +128,8 @@
         self.outcome = Outcome()
         self._events: list[tuple] = []
         self._ids = count(1)
-        self._asked: dict[int, tuple[Request, float]] = {}
-        self._wakes: dict[int, float] = {}
+        self._requests: dict[int, tuple[Request, float]] = {}
+        self._wake_times: dict[int, float] = {}
         self.version = 1
         self.document = self._make_document()
         self.searchers = [self._make_searcher(i) for i in range(kind.searchers)]
@@ -115,14 +140,14 @@
 
     def _make_document(self):
         cls = {
-            "name": CALLER_CLASS,
+            "name": REQUEST_CLASS,
             "default_deadline_s": self.kind.deadline_s,
             **self.policy.request_class,
         }
         names = [f"s{i}" for i in range(self.kind.searchers)]
         text = {
             "entries": [f"e{i}" for i in range(ENTRIES)],
-            "connection_places": PLACES,
+            "connection_places": CONNECTION_PLACES,
             "services": [
                 {
                     "name": "s",
@@ -141,18 +166,18 @@
         }
         return parse_document(json.dumps(text))
 
-    def _make_searcher(self, index: int) -> StandIn:
-        return StandIn(
+    def _make_searcher(self, index: int) -> SimulatedSearcher:
+        return SimulatedSearcher(
             name=f"s{index}",
             slots=self.kind.slots,
             connect_cost_s=self.kind.connect_cost_s,
             data_centre=f"dc{index % self.kind.data_centres}",
             rng=random.Random(self.rng.getrandbits(32)),
-            versions={1: (SHARDS, self.held(index, SHARDS))},
+            versions={1: (SHARDS, self.held_shards(index, SHARDS))},
         )
 
-    def held(self, index: int, shard_count: int) -> tuple[int, ...]:
-        """Returns the shards of one searcher; each shard is held twice."""
+    def held_shards(self, index: int, shard_count: int) -> tuple[int, ...]:
+        """Returns the shards of a searcher; two searchers hold each shard."""
         total = self.kind.searchers
         return tuple(
             s
@@ -168,10 +193,10 @@
         entry.step(0.0, [DocumentChanged(1, self.document)])
         return entry
 
-    def announce(self, searcher: StandIn, **changes) -> None:
-        """Tells every entry of a searcher."""
+    def announce(self, searcher: SimulatedSearcher, **changes) -> None:
+        """Sends the row of a searcher to every entry."""
         self._sequence += 1
-        share = self.kind.connection_cap // PLACES
+        share = self.kind.connection_cap // CONNECTION_PLACES
         row = BackendServer(
             name=searcher.name,
             incarnation=1,
@@ -189,37 +214,37 @@
             connect_cost_s=self.kind.connect_cost_s,
             **changes,
         )
-        share = share if self.policy.shares else 10**6
+        share = share if self.policy.shares_cap else 10**6
         for index in range(ENTRIES):
             self.at(self.now, self.step, index, ServerChanged(row, share))
 
-    def withdraw(self, searcher: StandIn) -> None:
-        """Tells every entry that a searcher is gone."""
+    def withdraw(self, searcher: SimulatedSearcher) -> None:
+        """Notifies every entry that a searcher is gone."""
         for index in range(ENTRIES):
             gone = ServerGone(searcher.name, "s")
             self.at(self.now, self.step, index, gone)
 
     def at(self, time: float, call: Callable, *args) -> None:
-        """Calls something at a time."""
+        """Schedules a call at a time."""
         heapq.heappush(self._events, (time, next(self._ids), call, args))
 
     def run(self, until: float) -> None:
-        """Runs all events up to a time."""
+        """Runs the simulation up to a time."""
         while self._events and self._events[0][0] <= until:
             self.now, _, call, args = heapq.heappop(self._events)
             call(*args)
         self.now = until
 
-    def ask(self, caller: str, body: str) -> None:
-        """Sends one request of a caller to an entry it was told."""
+    def send_request(self, caller: str, body: str) -> None:
+        """Sends a request of a caller to one of its entries."""
         token = next(self._ids)
-        request = Request(token, caller, CALLER_CLASS, f"r{token}", "s")
+        request = Request(token, caller, REQUEST_CLASS, f"r{token}", "s")
         request = attrs.evolve(request, body=body)
-        self._asked[token] = (request, self.now)
+        self._requests[token] = (request, self.now)
         self.outcome.sent += 1
-        self.at(self.now, self.step, self._entry_for(), request)
+        self.at(self.now, self.step, self._select_entry(), request)
 
-    def _entry_for(self) -> int:
+    def _select_entry(self) -> int:
         if not self.policy.steered:
             return self.rng.randrange(ENTRIES)
         ranked = sorted(
@@ -230,60 +255,66 @@
         return self.rng.choice(ranked[:2])
 
     def step(self, index: int, *msgs: object) -> None:
-        """Runs one tick of an entry and acts on what comes out."""
+        """Steps an entry and handles its output."""
         entry = self.entries[index]
         for msg in entry.step(self.now, msgs):
             if isinstance(msg, StartAttempt):
-                self._start(index, msg)
+                self._start_attempt(index, msg)
             elif isinstance(msg, CancelAttempt):
                 searcher = self._searcher(msg.server)
-                at = self.now + self._distance(index, searcher)
+                at = self.now + self._delay_s(index, searcher)
                 self.at(at, searcher.cancel, self, index, msg.attempt_id)
             elif isinstance(msg, Reply):
-                self._count(msg)
+                self._record_reply(msg)
         self._set_wake(index, entry)
 
     def _set_wake(self, index: int, entry: QueryDecider) -> None:
         wake = entry.next_wake()
-        if wake is None or self._wakes.get(index, float("inf")) <= wake:
+        if wake is None or self._wake_times.get(index, float("inf")) <= wake:
             return
-        self._wakes[index] = wake
-        self.at(max(wake, self.now), self._wake, index)
+        self._wake_times[index] = wake
+        self.at(max(wake, self.now), self._run_wake, index)
 
-    def _wake(self, index: int) -> None:
-        self._wakes.pop(index, None)
+    def _run_wake(self, index: int) -> None:
+        self._wake_times.pop(index, None)
         self.step(index)
 
-    def _searcher(self, name: str) -> StandIn:
+    def _searcher(self, name: str) -> SimulatedSearcher:
         return self.searchers[int(name[1:])]
 
-    def _distance(self, index: int, searcher: StandIn) -> float:
-        near = searcher.data_centre == self.entries[index].state.home
-        return NEAR_S if near else self.kind.far_s
+    def _delay_s(self, index: int, searcher: SimulatedSearcher) -> float:
+        same_data_centre = (
+            searcher.data_centre == self.entries[index].state.home
+        )
+        return SAME_DATA_CENTRE_DELAY_S if same_data_centre else self.kind.far_s
 
-    def _start(self, index: int, msg: StartAttempt) -> None:
+    def _start_attempt(self, index: int, msg: StartAttempt) -> None:
         searcher = self._searcher(msg.server)
-        delay = searcher.connect(index) + self._distance(index, searcher)
+        delay = searcher.open_connection(index) + self._delay_s(index, searcher)
         job = Job(index, msg)
         searcher.jobs[(index, msg.attempt_id)] = job
-        self.at(self.now + delay, searcher.take, self, job)
+        self.at(self.now + delay, searcher.receive, self, job)
 
-    def send_back(self, searcher: StandIn, index: int, answer: object) -> None:
-        """Carries a searcher's answer to the entry."""
-        at = self.now + self._distance(index, searcher)
-        self.at(at, self._receive, searcher, index, answer)
+    def deliver_answer(
+        self, searcher: SimulatedSearcher, index: int, answer: object
+    ) -> None:
+        """Schedules the delivery of a searcher's answer to an entry."""
+        at = self.now + self._delay_s(index, searcher)
+        self.at(at, self._receive_answer, searcher, index, answer)
 
-    def _receive(self, searcher: StandIn, index: int, answer: object) -> None:
-        searcher.busy[index] -= 1
+    def _receive_answer(
+        self, searcher: SimulatedSearcher, index: int, answer: object
+    ) -> None:
+        searcher.used_connections[index] -= 1
         self.step(index, answer)
 
-    def _count(self, msg: Reply) -> None:
-        request, asked_at = self._asked.pop(msg.token)
+    def _record_reply(self, msg: Reply) -> None:
+        request, sent_at = self._requests.pop(msg.token)
         outcome = self.outcome
         answer = msg.answer
-        taken = self.now - asked_at
+        latency_s = self.now - sent_at
         if answer.code in (Code.WHOLE, Code.PARTIAL):
-            outcome.latencies.append(taken)
+            outcome.latencies.append(latency_s)
             outcome.answered += 1
             outcome.whole += answer.code is Code.WHOLE
             outcome.coverage += (
@@ -293,31 +324,31 @@
             outcome.refused += 1
         else:
             outcome.late += 1
-        self._count_spike(request, answer.code is Code.WHOLE, asked_at)
+        self._record_spike(request, answer.code is Code.WHOLE, sent_at)
         outcome.wrong += self._is_wrong(request, msg)
 
-    def _count_spike(
-        self, request: Request, whole: bool, asked_at: float
+    def _record_spike(
+        self, request: Request, whole: bool, sent_at: float
     ) -> None:
-        """Counts what happens while a spike lasts, and to the other callers."""
-        start, end = SPIKE
+        """Counts answers during the spike, and those of other callers."""
+        start, end = SPIKE_S
         self.outcome.whole_in_spike += whole and start <= self.now < end
-        if start <= asked_at < end and request.caller != SPIKING_CALLER:
+        if start <= sent_at < end and request.caller != SPIKING_CALLER:
             self.outcome.others_sent += 1
             self.outcome.others_whole += whole
 
     def _is_wrong(self, request: Request, msg: Reply) -> bool:
-        """Whether an answer mixes versions or claims what it lacks.
+        """Whether an answer mixes versions or claims results it lacks.
 
-        Joined requests get the results of an equal one, so the request id in
-        a value may be another's; version and shard must be the answer's own.
+        A joined request gets the results of an equal one, so the request id in
+        a value may differ; version and shard must match the answer.
         """
         answer = msg.answer
-        told = {
+        given = {
             (result.shard, tuple(result.value.split("/")[1:]))
             for result in answer.results
         }
-        true = {
+        expected = {
             (shard, (str(answer.snapshot), str(shard)))
             for shard in answer.coverage.reflected
         }
@@ -326,4 +357,4 @@
             Code.PARTIAL,
         )
         wrong_id = answer.request_id != request.request_id
-        return wrong_id or (told != true and not withheld)
+        return wrong_id or (given != expected and not withheld)
--- a/bench/mutant.py
+++ b/bench/mutant.py
@@ -1,4 +1,4 @@
-"""One protection taken out, and the tests that must fail without it."""
+"""A code change that removes a protection, and tests that must detect it."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @attrs.frozen
 class Mutant:
-    """One protection taken out.
+    """A code change that removes one protection.
 
     Attributes:
-        promise: which promise it serves, as docs/PROOFS.md names it.
-        file: below greengagemoor/.
-        old: text that is replaced, once.
-        new: what stands there instead.
-        tests: pytest node ids that must fail.
+        promise: the guarantee that it protects, as docs/PROOFS.md names it.
+        file: path below greengagemoor/.
+        old: text to replace; must occur exactly once in the file.
+        new: replacement.
+        tests: pytest node ids, at least one of which must fail.
     """
 
     promise: str
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -1,8 +1,7 @@
-"""Shows that tests can fail: each mutant removes one protection.
+"""Mutation tests: each mutant removes one protection (``make mutants``).
 
-``make mutants`` applies each change to a copy of the tree, runs the named
-tests there, and expects them to fail. A mutant that survives is a check that
-cannot fail.
+Applies each change to a copy of the tree, runs the named tests there and
+expects a failure. If a mutant survives, its tests do not check the protection.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 
 
 def try_mutant(mutant: Mutant) -> str:
-    """Returns what became of a mutant: killed, SURVIVED or not applicable."""
+    """Returns the result: "killed ...", "SURVIVED" or "NOT APPLIED ..."."""
     with tempfile.TemporaryDirectory() as name:
         copy = Path(name) / "tree"
         shutil.copytree(ROOT, copy, ignore=IGNORED)
@@ -56,7 +55,7 @@
 
 
 def main() -> int:
-    """Tries every mutant, or those whose promise holds the argument."""
+    """Tries all mutants, or those whose promise contains the argument."""
     wanted = sys.argv[1] if len(sys.argv) > 1 else ""
     chosen = [m for m in MUTANTS if wanted in m.promise]
     with ThreadPoolExecutor(WORKERS) as pool:
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,11 +1,11 @@
-"""Compares query policies with the naive baseline: ``make bench``.
-
-The same seed gives the same output. Columns: latencies of answers in ms;
-coverage; attempts for each needed shard; share refused; share without an
-answer in time; work after it was useful; largest connections on a searcher
-against its cap; goodput against capacity, over the run and over seconds 3 to
-6 (when spikes last); whole answers of the callers that don't spike, in those
-seconds; wrong answers.
+"""Compares query policies with a naive baseline (``make bench``).
+
+The same seeds give the same output. Columns: latencies of answers in ms;
+coverage; attempts per needed shard; share of requests refused; share without
+an answer in time; share of work spent on cancelled attempts; most connections
+of a searcher and its cap; goodput as a share of capacity, over the run and
+over seconds 3 to 6 (the spike); share of whole answers for callers without a
+spike, in those seconds; wrong answers.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 import attrs
 
-from bench.model import SPIKE, Bench, Kind, Outcome, Policy
+from bench.model import SPIKE_S, Bench, Outcome, Policy, ServiceKind
 from bench.scenarios import RUN_S, scenarios
 
 SEEDS = (20261202, 20261203, 20261204)
@@ -25,14 +25,14 @@
 ATLAS = {"far_s": 0.0015, "data_centres": 3}
 DOWNS = {"far_s": 0.001, "data_centres": 4}
 KINDS = (
-    Kind("atlas-dispatch", 3, 5, 40, 0.006, deadline_s=1.0, **ATLAS),
-    Kind("atlas-billing", 3, 5, 40, 0.006, deadline_s=1.0, **ATLAS),
-    Kind("atlas-archives", 7, 6, 110, 0.001, deadline_s=2.0, **ATLAS),
-    Kind("atlas-reporting", 3, 6, 110, 0.001, deadline_s=2.0, **ATLAS),
-    Kind("downs-driver", 3, 2, 25, 0.006, deadline_s=0.5, **DOWNS),
-    Kind("downs-planner", 3, 2, 25, 0.006, deadline_s=0.5, **DOWNS),
-    Kind("downs-accounts", 4, 4, 45, 0.001, deadline_s=2.0, **DOWNS),
-    Kind("downs-compliance", 4, 4, 45, 0.001, deadline_s=2.0, **DOWNS),
+    ServiceKind("atlas-dispatch", 3, 5, 40, 0.006, deadline_s=1.0, **ATLAS),
+    ServiceKind("atlas-billing", 3, 5, 40, 0.006, deadline_s=1.0, **ATLAS),
+    ServiceKind("atlas-archives", 7, 6, 110, 0.001, deadline_s=2.0, **ATLAS),
+    ServiceKind("atlas-reporting", 3, 6, 110, 0.001, deadline_s=2.0, **ATLAS),
+    ServiceKind("downs-driver", 3, 2, 25, 0.006, deadline_s=0.5, **DOWNS),
+    ServiceKind("downs-planner", 3, 2, 25, 0.006, deadline_s=0.5, **DOWNS),
+    ServiceKind("downs-accounts", 4, 4, 45, 0.001, deadline_s=2.0, **DOWNS),
+    ServiceKind("downs-compliance", 4, 4, 45, 0.001, deadline_s=2.0, **DOWNS),
 )
 FULL_KINDS = ("atlas-dispatch", "downs-driver")
 
@@ -49,7 +49,7 @@
         "refuse_late": False,
         "join_equal": False,
     },
-    shares=False,
+    shares_cap=False,
     steered=False,
 )
 DEFAULT = Policy("default")
@@ -57,7 +57,7 @@
     "tail-first",
     request_class={"completion": "cut_at_tail", "least_coverage": 0.6},
 )
-WITHOUT = (
+ABLATIONS = (
     Policy("no-hedge", request_class={"hedge_budget": 0.0}),
     Policy("no-limit", service={"adaptive_limit": False}),
     Policy("no-queue-rule", request_class={"refuse_late": False}),
@@ -69,7 +69,7 @@
 
 @attrs.frozen
 class Row:
-    """One measured run."""
+    """Figures of a scenario, kind of service and policy over all seeds."""
 
     scenario: str
     kind: str
@@ -90,17 +90,17 @@
     wrong: int
 
 
-def measure(scenario: str, kind: Kind, policy: Policy) -> Row:
-    """Runs one scenario and returns its figures."""
+def measure(scenario: str, kind: ServiceKind, policy: Policy) -> Row:
+    """Runs a scenario on each seed and returns its figures."""
     benches = [_run(scenario, kind, policy, seed) for seed in SEEDS]
-    outcome = _add([bench.outcome for bench in benches])
-    start, end = SPIKE
+    outcome = _sum_outcomes([bench.outcome for bench in benches])
+    start, end = SPIKE_S
     entries = [entry for bench in benches for entry in bench.entries]
     counters = [entry.state.counters for entry in entries]
-    first = sum(c.first_shards for c in counters)
-    more = sum(c.retry_shards + c.hedge_shards for c in counters)
+    initial_shards = sum(c.first_shards for c in counters)
+    repeated_shards = sum(c.retry_shards + c.hedge_shards for c in counters)
     searchers = [s for bench in benches for s in bench.searchers]
-    work = sum(s.work for s in searchers)
+    work = sum(s.total_work_s for s in searchers)
     wasted = sum(s.wasted for s in searchers)
     capacity = kind.capacity * len(SEEDS)
     return Row(
@@ -111,11 +111,11 @@
         p99=_quantile(outcome.latencies, 0.99),
         p999=_quantile(outcome.latencies, 0.999),
         coverage=outcome.coverage / max(1, outcome.answered),
-        attempts=(first + more) / max(1, first),
+        attempts=(initial_shards + repeated_shards) / max(1, initial_shards),
         refused=outcome.refused / outcome.sent,
         late=outcome.late / outcome.sent,
         wasted=wasted / max(work, 1e-9),
-        connections=max(s.most_connections for s in searchers),
+        connections=max(s.max_connections for s in searchers),
         cap=kind.connection_cap,
         goodput=outcome.whole / RUN_S / capacity,
         spike=outcome.whole_in_spike / (end - start) / capacity,
@@ -124,15 +124,15 @@
     )
 
 
-def _run(scenario: str, kind: Kind, policy: Policy, seed: int) -> Bench:
+def _run(scenario: str, kind: ServiceKind, policy: Policy, seed: int) -> Bench:
     bench = Bench(kind, policy, seed)
     scenarios.get(scenario)(bench)
     bench.run(RUN_S + DRAIN_S)
     return bench
 
 
-def _add(outcomes: list[Outcome]) -> Outcome:
-    """Returns the sum of several runs' outcomes."""
+def _sum_outcomes(outcomes: list[Outcome]) -> Outcome:
+    """Returns the sum of the outcomes of several runs."""
     total = Outcome()
     for name in attrs.fields_dict(Outcome):
         parts = [getattr(outcome, name) for outcome in outcomes]
@@ -155,7 +155,7 @@
 )
 
 
-def show(row: Row) -> str:
+def format_row(row: Row) -> str:
     """Returns a row as a line of the table."""
     return (
         f"{row.scenario:17} {row.kind:16} {row.policy:13} {row.p50:7.1f} "
@@ -167,8 +167,8 @@
     )
 
 
-def runs() -> list[tuple[str, Kind, Policy]]:
-    """Returns what ``make bench`` measures, in order."""
+def planned_runs() -> list[tuple[str, ServiceKind, Policy]]:
+    """Returns all runs of ``make bench``, in order."""
     full = [kind for kind in KINDS if kind.name in FULL_KINDS]
     others = [kind for kind in KINDS if kind.name not in FULL_KINDS]
     table = [
@@ -182,23 +182,23 @@
         for kind in others
         for policy in (NAIVE, DEFAULT)
     ]
-    ablations = ("one-slow", "spike-one-caller", "spike-one-query")
+    ablation_scenarios = ("one-slow", "spike-one-caller", "spike-one-query")
     table += [
         (scenario, full[0], policy)
-        for scenario in ablations
-        for policy in WITHOUT
+        for scenario in ablation_scenarios
+        for policy in ABLATIONS
     ]
     return table
 
 
 def main() -> None:
-    """Prints the whole table, or the scenarios named as arguments."""
+    """Prints the table, or only the scenarios named as arguments."""
     wanted = sys.argv[1:]
     print(HEADER)
-    chosen = [run for run in runs() if not wanted or run[0] in wanted]
+    chosen = [run for run in planned_runs() if not wanted or run[0] in wanted]
     with ProcessPoolExecutor(WORKERS) as pool:
         for row in pool.map(measure, *zip(*chosen, strict=True)):
-            print(show(row), flush=True)
+            print(format_row(row), flush=True)
 
 
 if __name__ == "__main__":
--- a/bench/searchers.py
+++ b/bench/searchers.py
@@ -1,4 +1,4 @@
-"""Stand-in searchers for the policy bench: slots, a short queue, faults."""
+"""Simulated searchers of the policy benchmark, with queues and faults."""
 
 from __future__ import annotations
 
@@ -20,23 +20,25 @@
     from bench.model import Bench
     from greengagemoor.query.messages import StartAttempt
 
-BASE_S = 0.008
-PER_SHARD_S = 0.004
-SPREAD = 0.35
+BASE_WORK_S = 0.008
+WORK_PER_SHARD_S = 0.004
+WORK_SIGMA = 0.35
 QUEUE_PER_SLOT = 4
 COLD_S = 4.0
 COLD_FACTOR = 6.0
 SHED_RETRY_S = 0.05
 
 
-def mean_work(shards: int) -> float:
-    """Returns the mean slot seconds of an attempt."""
-    return (BASE_S + PER_SHARD_S * shards) * math.exp(SPREAD**2 / 2)
+def mean_work_s(shards: int) -> float:
+    """Returns the mean time that an attempt occupies a slot, in seconds."""
+    return (BASE_WORK_S + WORK_PER_SHARD_S * shards) * math.exp(
+        WORK_SIGMA**2 / 2
+    )
 
 
 @attrs.define(eq=False)
 class Job:
-    """An attempt at a searcher."""
+    """An attempt in a searcher's queue or slots."""
 
     entry: int
     msg: StartAttempt
@@ -46,14 +48,16 @@
 
 
 @attrs.define(eq=False)
-class StandIn:
+class SimulatedSearcher:
     """One searcher.
 
     Attributes:
-        factor: how much slower than usual it is.
-        silent: whether it takes work and never answers.
+        factor: factor on its work times.
+        silent: whether it accepts attempts and never answers.
         shed_share: share of attempts that it refuses.
-        cold_since: when it started cold, None if it is warm.
+        cold_since: time of a cold start, None if it is warm.
+        used_connections, open_connections: by entry.
+        total_work_s, wasted: slot seconds of all and of cancelled attempts.
     """
 
     name: str
@@ -69,38 +73,41 @@
     queue: deque = attrs.field(factory=deque)
     running: int = 0
     jobs: dict = attrs.field(factory=dict)
-    busy: dict[int, int] = attrs.field(factory=dict)
-    open: dict[int, int] = attrs.field(factory=dict)
-    most_connections: int = 0
-    work: float = 0.0
+    used_connections: dict[int, int] = attrs.field(factory=dict)
+    open_connections: dict[int, int] = attrs.field(factory=dict)
+    max_connections: int = 0
+    total_work_s: float = 0.0
     wasted: float = 0.0
 
-    def connect(self, entry: int) -> float:
-        """Takes a connection of the entry; returns what it costs."""
-        self.busy[entry] = self.busy.get(entry, 0) + 1
-        if self.busy[entry] <= self.open.get(entry, 0):
+    def open_connection(self, entry: int) -> float:
+        """Uses a connection of an entry; returns the seconds to open it.
+
+        Returns 0 if an open connection is free.
+        """
+        self.used_connections[entry] = self.used_connections.get(entry, 0) + 1
+        if self.used_connections[entry] <= self.open_connections.get(entry, 0):
             return 0.0
-        self.open[entry] = self.busy[entry]
-        total = sum(self.open.values())
-        self.most_connections = max(self.most_connections, total)
+        self.open_connections[entry] = self.used_connections[entry]
+        total = sum(self.open_connections.values())
+        self.max_connections = max(self.max_connections, total)
         return self.connect_cost_s
 
-    def take(self, bench: Bench, job: Job) -> None:
-        """Takes in an attempt."""
+    def receive(self, bench: Bench, job: Job) -> None:
+        """Receives an attempt."""
         self.jobs[(job.entry, job.msg.attempt_id)] = job
         if job.cancelled:
             self._fail(bench, job, Failure.CANCELLED)
         elif self.silent:
-            bench.at(job.msg.deadline, self._give_up, bench, job)
+            bench.at(job.msg.deadline, self._time_out, bench, job)
         elif job.msg.snapshot not in self.versions:
             self._fail(bench, job, Failure.VERSION_GONE)
-        elif self._sheds():
+        elif self._is_refused():
             self._fail(bench, job, Failure.SHED)
         else:
             self.queue.append(job)
             self._start_next(bench)
 
-    def _sheds(self) -> bool:
+    def _is_refused(self) -> bool:
         full = len(self.queue) >= QUEUE_PER_SLOT * self.slots
         return full or self.rng.random() < self.shed_share
 
@@ -112,21 +119,24 @@
             self.running += 1
             job.started = bench.now
             bench.at(
-                bench.now + self._work_of(bench, job), self._end, bench, job
+                bench.now + self._draw_work_s(bench, job),
+                self._complete,
+                bench,
+                job,
             )
 
-    def _work_of(self, bench: Bench, job: Job) -> float:
-        usual = BASE_S + PER_SHARD_S * len(job.msg.shards)
-        taken = usual * self.rng.lognormvariate(0, SPREAD) * self.factor
+    def _draw_work_s(self, bench: Bench, job: Job) -> float:
+        median_s = BASE_WORK_S + WORK_PER_SHARD_S * len(job.msg.shards)
+        work_s = median_s * self.rng.lognormvariate(0, WORK_SIGMA) * self.factor
         if self.cold_since is not None:
             age = min(1.0, (bench.now - self.cold_since) / COLD_S)
-            taken *= COLD_FACTOR - (COLD_FACTOR - 1) * age
-        return taken
+            work_s *= COLD_FACTOR - (COLD_FACTOR - 1) * age
+        return work_s
 
-    def _end(self, bench: Bench, job: Job) -> None:
+    def _complete(self, bench: Bench, job: Job) -> None:
         if job.done:
             return
-        self._count(bench, job, wasted=job.cancelled)
+        self._record_work(bench, job, wasted=job.cancelled)
         msg = job.msg
         _, held = self.versions.get(msg.snapshot, (0, ()))
         results = tuple(
@@ -139,23 +149,23 @@
         )
         self._finish(bench, job, answer)
 
-    def _count(self, bench: Bench, job: Job, *, wasted: bool) -> None:
+    def _record_work(self, bench: Bench, job: Job, *, wasted: bool) -> None:
         if job.started is None:
             return
-        spent = bench.now - job.started
-        self.work += spent
-        self.wasted += spent if wasted else 0.0
+        spent_s = bench.now - job.started
+        self.total_work_s += spent_s
+        self.wasted += spent_s if wasted else 0.0
         self.running -= 1
         bench.at(bench.now, self._start_next, bench)
 
     def cancel(self, bench: Bench, entry: int, attempt_id: int) -> None:
-        """Takes in a cancellation; work done so far is wasted."""
+        """Cancels an attempt; work done so far counts as wasted."""
         job = self.jobs.get((entry, attempt_id))
         if job is not None and not job.done and not self.silent:
-            self._count(bench, job, wasted=True)
+            self._record_work(bench, job, wasted=True)
             self._fail(bench, job, Failure.CANCELLED)
 
-    def _give_up(self, bench: Bench, job: Job) -> None:
+    def _time_out(self, bench: Bench, job: Job) -> None:
         if not job.done:
             self._fail(bench, job, Failure.TIMEOUT)
 
@@ -168,4 +178,4 @@
     def _finish(self, bench: Bench, job: Job, answer: object) -> None:
         job.done = True
         self.jobs.pop((job.entry, job.msg.attempt_id), None)
-        bench.send_back(self, job.entry, answer)
+        bench.deliver_answer(self, job.entry, answer)
--- a/tests/test_bench/test_experiment.py
+++ b/tests/test_bench/test_experiment.py
@@ -1,11 +1,16 @@
-"""Paired plays with and without one mechanism."""
+"""Paired runs with and without one mechanism."""
 
 from __future__ import annotations
 
 import attrs
 import pytest
 
-from bench.experiment import compare, mechanisms, patched, play
+from bench.experiment import (
+    compare_paired,
+    mechanisms,
+    override_constants,
+    run_variant,
+)
 from bench.gathers import Figures
 from greengagemoor.forward import choosing
 
@@ -15,47 +20,51 @@
 
 
 class TestCompare:
-    """Differences on the same seeds."""
+    """Differences between runs on the same seeds."""
 
     def test_mean_and_interval(self):
         base = [figures(80.0), figures(90.0), figures(70.0)]
         other = [figures(82.0), figures(91.0), figures(73.0)]
-        mean, half = compare(base, other)
+        mean, half_width = compare_paired(base, other)
         assert mean == pytest.approx(0.02)
-        assert half == pytest.approx(4.30 * 0.01 / 3**0.5)
+        assert half_width == pytest.approx(4.30 * 0.01 / 3**0.5)
 
-    def test_one_seed_tells_no_interval(self):
-        _, half = compare([figures(80.0)], [figures(82.0)])
-        assert half == float("inf")
+    def test_one_seed_gives_an_infinite_interval(self):
+        _, half_width = compare_paired([figures(80.0)], [figures(82.0)])
+        assert half_width == float("inf")
 
 
-class TestMechanisms:
-    """Each can be switched off, and is on again afterwards."""
+class TestOverrides:
+    """A mechanism is switched off only within the context manager."""
 
     @pytest.mark.parametrize("name", mechanisms.names())
-    def test_is_there_and_comes_back(self, name):
+    def test_sets_constants_and_restores_them(self, name):
         _, patches = mechanisms.get(name)()
         before = [getattr(module, key) for module, key, _ in patches]
-        with patched(patches):
+        with override_constants(patches):
             now = [getattr(module, key) for module, key, _ in patches]
             assert now == [value for *_, value in patches]
         after = [getattr(module, key) for module, key, _ in patches]
         assert after == before
 
-    def test_back_after_a_failure(self):
+    def test_restores_constants_after_an_exception(self):
         value = choosing.NOISE
-        with pytest.raises(KeyError), patched([(choosing, "NOISE", 0.0)]):
+        with (
+            pytest.raises(KeyError),
+            override_constants([(choosing, "NOISE", 0.0)]),
+        ):
             raise KeyError
         assert value == choosing.NOISE
 
-    def test_play_repeats_itself(self):
+    def test_same_seed_gives_the_same_figures(self):
         first, second = (
-            play("lockers", 0.35, range(1, 2), 6.0, ({}, [])) for _ in range(2)
+            run_variant("lockers", 0.35, range(1, 2), 6.0, ({}, []))
+            for _ in range(2)
         )
         assert attrs.asdict(first[0]) == attrs.asdict(second[0])
 
-    def test_play_without_second_sends_sends_less(self):
-        base = play("lockers", 0.35, range(1, 2), 6.0, ({}, []))
-        off = mechanisms.get("second-sends")()
-        other = play("lockers", 0.35, range(1, 2), 6.0, off)
+    def test_without_hedges_fewer_attempts_are_sent(self):
+        base = run_variant("lockers", 0.35, range(1, 2), 6.0, ({}, []))
+        overrides = mechanisms.get("second-sends")()
+        other = run_variant("lockers", 0.35, range(1, 2), 6.0, overrides)
         assert other[0].sends < base[0].sends
