--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Fault soak: the real programs on loopback, faults from outside."""
+"""Soak test: real programs on loopback, faults injected from outside."""
--- a/soak/builds.py
+++ b/soak/builds.py
@@ -1,4 +1,4 @@
-"""Plays two builds of the code: one after the other, and side by side.
+"""Runs two builds of the code, one after the other and side by side.
 
 ``python -m soak.builds --old CHECKOUT [--new CHECKOUT] [--seeds 1-2]``
 """
@@ -19,40 +19,45 @@
 from greengagemoor import log
 from soak import daemons
 from soak.__main__ import Run
-from soak.world import EVACUATE_S, PLACES
+from soak.cluster import DATA_CENTRES, EVACUATION_LIMIT_S
 
 if TYPE_CHECKING:
-    from soak.world import Machine
-
-SPAN_S = EVACUATE_S + 4.0
-"""Long enough to see what is sent to an evacuated data centre."""
-LEADER_S = 10.0
-PART = re.compile(r"event=part .*peer=(\S+) .*answered=([1-9]\d*)")
-REFUSALS = re.compile(
+    from soak.cluster import Machine
+
+PHASE_S = EVACUATION_LIMIT_S + 4.0
+"""Long enough to detect sends to an evacuated data centre."""
+LEADER_TIMEOUT_S = 10.0
+PART_ANSWERED = re.compile(r"event=part .*peer=(\S+) .*answered=([1-9]\d*)")
+"""Log line of an entry that had answers from shards it asked for a peer."""
+REJECTIONS = re.compile(
     r"event=(link_bad_\w+|peer_message_refused|document_unreadable"
     r"|difference_refused|rows_unreadable|disk_damaged|tick_failed).*"
 )
+"""Log line of a process that could not read a message or its stored data."""
 
 
 class BuildsRun(Run):
-    """A run without faults, whose machines run one of two builds each.
+    """A run without injected faults; each machine runs one of two builds.
 
     Attributes:
-        FIRST: builds that the machines of a role start with, by turns.
+        INITIAL_BUILDS: builds assigned in turn to the machines of each role at
+            the start.
+        builds: checkouts by the names ``old`` and ``new``.
+        leaders: builds that have led the control group.
     """
 
-    FIRST: tuple[str, ...] = ("old",)
+    INITIAL_BUILDS: tuple[str, ...] = ("old",)
 
     def __init__(self, seed: int, folder: Path, builds: dict[str, Path]):
-        super().__init__(seed, SPAN_S, folder)
+        super().__init__(seed, PHASE_S, folder)
         self.builds = builds
         self.leaders: set[str] = set()
 
-    def assign(self, names: tuple[str, ...]) -> None:
-        """Gives each role's machines these builds by turns."""
+    def assign_builds(self, names: tuple[str, ...]) -> None:
+        """Assigns these builds in turn to the machines of each role."""
         for role in ("control", "entry"):
             for machine, name in zip(
-                self.world.of_role(role), cycle(names), strict=False
+                self.cluster.of_role(role), cycle(names), strict=False
             ):
                 machine.checkout = self.builds[name]
 
@@ -61,146 +66,156 @@
         return next(n for n, p in self.builds.items() if p == machine.checkout)
 
     async def restart(self) -> None:
-        """Ends all processes, then starts them with the builds assigned."""
-        for machine in self.world.machines:
+        """Restarts all processes with the builds assigned to them."""
+        for machine in self.cluster.machines:
             machine.process.kill()
-        for machine in self.world.machines:
+        for machine in self.cluster.machines:
             machine.process.wait()
-            self.world.start(machine)
-        await self._until(self._served, "nothing was served after a restart")
-        await self._until(self._read_back, "no read after a restart")
-
-    async def span(self) -> None:
-        """Evacuates a data centre while load runs, over a change of leader."""
-        place = self.rng.choice(PLACES)
-        await self._order(place, "start")
-        self.world.evacuated[place] = asyncio.get_running_loop().time()
-        await asyncio.sleep(SPAN_S)
-        await self._note_leader()
+            self.cluster.start(machine)
+        await self._wait_until(
+            self._is_served, "no request was served after a restart"
+        )
+        await self._wait_until(
+            self._can_read, "no document was read after a restart"
+        )
+
+    async def run_evacuation(self) -> None:
+        """Evacuates a random data centre under load and records the leader."""
+        data_centre = self.rng.choice(DATA_CENTRES)
+        await self._set_evacuation(data_centre, "start")
+        self.cluster.evacuated[data_centre] = asyncio.get_running_loop().time()
+        await asyncio.sleep(PHASE_S)
+        await self._record_leader()
 
     async def end_evacuations(self) -> None:
-        """Takes all evacuations back."""
-        for place in list(self.world.evacuated):
-            self.world.evacuated.pop(place)
-            await self._order(place, "finish")
+        """Ends all evacuations."""
+        for data_centre in list(self.cluster.evacuated):
+            self.cluster.evacuated.pop(data_centre)
+            await self._set_evacuation(data_centre, "finish")
 
-    async def _order(self, place: str, name: str) -> None:
-        while not await self.operator.order(place, name):
+    async def _set_evacuation(self, data_centre: str, action: str) -> None:
+        while not await self.operator.set_evacuation(data_centre, action):
             await asyncio.sleep(0.1)
 
     async def _leader(self) -> Machine | None:
-        for machine in self.world.of_role("control"):
-            gauges = await self.world.gauges(machine)
+        for machine in self.cluster.of_role("control"):
+            gauges = await self.cluster.gauges(machine)
             if gauges.get("leads"):
                 return machine
         return None
 
-    async def _note_leader(self) -> Machine | None:
+    async def _record_leader(self) -> Machine | None:
         loop = asyncio.get_running_loop()
-        end = loop.time() + LEADER_S
-        while loop.time() < end:
+        deadline = loop.time() + LEADER_TIMEOUT_S
+        while loop.time() < deadline:
             leader = await self._leader()
             if leader is not None:
                 self.leaders.add(self.build_of(leader))
                 return leader
             await asyncio.sleep(0.2)
-        self.world.faults.append("no control instance leads")
+        self.cluster.violations.append("no control instance became leader")
         return None
 
     def check_logs(self) -> None:
-        """No process refused a message or data that the other build wrote."""
-        for machine in self.world.machines:
+        """Checks that no process rejected what the other build wrote."""
+        for machine in self.cluster.machines:
             text = (machine.folder / "log").read_text(errors="replace")
-            self.world.faults += [
+            self.cluster.violations += [
                 f"{machine.name} logged {found[0]}"
-                for found in REFUSALS.finditer(text)
+                for found in REJECTIONS.finditer(text)
             ]
 
 
-class HandOver(BuildsRun):
-    """All machines change to the other build and back, on the same disks."""
+class UpgradeRun(BuildsRun):
+    """All machines are upgraded and rolled back, on the same disks."""
 
-    async def _break_things(self) -> None:
+    async def _run_scenario(self) -> None:
         for name in ("new", "old"):
-            await self.span()
-            self.assign((name,))
+            await self.run_evacuation()
+            self.assign_builds((name,))
             await self.restart()
-            await asyncio.sleep(SPAN_S)
+            await asyncio.sleep(PHASE_S)
             await self.end_evacuations()
         self.check_logs()
 
 
-class SideBySide(BuildsRun):
-    """A control group and entries of both builds; each build leads."""
+class MixedRun(BuildsRun):
+    """The control group and the entries mix both builds; each build leads."""
 
-    FIRST = ("old", "new")
+    INITIAL_BUILDS = ("old", "new")
 
-    async def _break_things(self) -> None:
+    async def _run_scenario(self) -> None:
         for names in (("old", "new"), ("new", "old")):
-            self.assign(names)
+            self.assign_builds(names)
             await self.restart()
-            await self.span()
-            leader = await self._note_leader()
+            await self.run_evacuation()
+            leader = await self._record_leader()
             if leader is not None:
-                self.world.kill(leader)
-            await self.span()
+                self.cluster.kill(leader)
+            await self.run_evacuation()
             await self.end_evacuations()
         for _ in range(20):
             if self.leaders == set(self.builds):
                 break
-            leader = await self._note_leader()
+            leader = await self._record_leader()
             if leader is not None:
-                self.world.kill(leader)
-                await asyncio.sleep(LEADER_S / 2)
+                self.cluster.kill(leader)
+                await asyncio.sleep(LEADER_TIMEOUT_S / 2)
         if self.leaders != set(self.builds):
-            self.world.faults.append(f"only {self.leaders} led the group")
+            self.cluster.violations.append(
+                f"only builds {self.leaders} led the group"
+            )
         self.check_logs()
-        self._check_shared()
+        self._check_shared_queries()
 
-    def _check_shared(self) -> None:
-        """Entries of each build asked shards for entries of the other one."""
-        builds = {m.ip: self.build_of(m) for m in self.world.of_role("entry")}
+    def _check_shared_queries(self) -> None:
+        """Checks that entries of each build asked shards for the other one."""
+        builds = {m.ip: self.build_of(m) for m in self.cluster.of_role("entry")}
         asked = set()
-        for machine in self.world.of_role("entry"):
+        for machine in self.cluster.of_role("entry"):
             text = (machine.folder / "log").read_text(errors="replace")
-            peers = (found[1] for found in PART.finditer(text))
+            peers = (found[1] for found in PART_ANSWERED.finditer(text))
             asked |= {
                 (builds[ip], builds[machine.ip])
                 for peer in peers
                 if (ip := peer.partition(":")[0]) in builds
             }
         if {("old", "new"), ("new", "old")} - asked:
-            self.world.faults.append(f"queries were shared only {asked}")
+            self.cluster.violations.append(
+                f"queries were shared between builds only as {asked}"
+            )
 
 
-async def _play(
+async def _execute(
     cls: type[BuildsRun], seed: int, folder: Path, builds: dict[str, Path]
 ) -> tuple[BuildsRun, list[str]]:
     run = cls(seed, folder, builds)
-    run.assign(cls.FIRST)
-    return run, await run.play()
+    run.assign_builds(cls.INITIAL_BUILDS)
+    return run, await run.execute()
 
 
-def play(cls: type[BuildsRun], seed: int, builds: dict[str, Path]) -> bool:
-    """Plays one kind of run; returns whether all promises held."""
+def run_builds(
+    cls: type[BuildsRun], seed: int, builds: dict[str, Path]
+) -> bool:
+    """Runs one kind of run; returns whether all guarantees held."""
     folder = Path(tempfile.mkdtemp(prefix=f"builds-{seed}-"))
-    run, faults = asyncio.run(_play(cls, seed, folder, builds))
+    run, violations = asyncio.run(_execute(cls, seed, folder, builds))
     print(
-        f"seed {seed}, {cls.__name__}: {len(faults)} broken, answers "
-        f"{dict(sorted(run.caller.endings.items()))}, document "
+        f"seed {seed}, {cls.__name__}: {len(violations)} violations, answers "
+        f"{dict(sorted(run.caller.statuses.items()))}, document "
         f"{run.operator.acknowledged}, led by {sorted(run.leaders)}",
-        *faults[:10],
-        *([f"logs: {folder}"] if faults else []),
+        *violations[:10],
+        *([f"logs: {folder}"] if violations else []),
         sep="\n  ",
         flush=True,
     )
-    if not faults:
+    if not violations:
         shutil.rmtree(folder)
-    return not faults
+    return not violations
 
 
 def _check_builds(builds: dict[str, Path]) -> None:
-    """Each checkout must run its own code, not the one installed."""
+    """Checks that each checkout runs its own code, not an installed package."""
     code = "import greengagemoor; print(greengagemoor.__file__)"
     for name, path in builds.items():
         found = subprocess.run(
@@ -211,11 +226,13 @@
             check=True,
         ).stdout
         if not found.startswith(f"{path}/"):
-            raise SystemExit(f"{name}: {path} runs {found}")
+            raise SystemExit(
+                f"build {name}: expected code under {path}, got {found}"
+            )
 
 
 def main() -> int:
-    """Plays both kinds of run, then the daemons, for each seed."""
+    """Runs both kinds of run for each seed, then the daemons."""
     parser = argparse.ArgumentParser(prog="soak.builds")
     parser.add_argument("--old", type=Path, required=True)
     parser.add_argument("--new", type=Path, default=Path())
@@ -226,14 +243,14 @@
     log.set_up("ERROR", "soak")
     first, _, last = args.seeds.partition("-")
     seeds = range(int(first), int(last or first) + 1)
-    held = [
-        play(cls, seed, builds)
+    passed = [
+        run_builds(cls, seed, builds)
         for seed in seeds
-        for cls in (HandOver, SideBySide)
+        for cls in (UpgradeRun, MixedRun)
     ]
-    faults = daemons.play(builds)
-    print(f"daemons: {len(faults)} broken", *faults, sep="\n  ")
-    return 0 if all(held) and not faults else 1
+    violations = daemons.run_daemons(builds)
+    print(f"daemons: {len(violations)} violations", *violations, sep="\n  ")
+    return 0 if all(passed) and not violations else 1
 
 
 if __name__ == "__main__":
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers and an operator, who check each promise by what they see."""
+"""Callers and an operator; they check the guarantees on each answer."""
 
 from __future__ import annotations
 
@@ -10,34 +10,39 @@
 from greengagemoor.aio.client import HttpAnswer
 from greengagemoor.aio.pool import Pool
 from greengagemoor.forward.mergers import merge_greatest
-from soak.harm import REFUSED_S, TARGET
-from soak.searchers import call, records, within
-from soak.world import PORTS
+from soak.cluster import PORTS
+from soak.crash_requests import CRASH_PATH_SUFFIX, QUARANTINE_RETRY_AFTER_S
+from soak.searchers import call, make_records, wait_for_result
 
 if TYPE_CHECKING:
     import random
 
-    from soak.world import World
+    from soak.cluster import Cluster
 
 HOST = "h.example"
 SERVICES = tuple(f"s{i}" for i in range(4))
-WIDE = (*SERVICES, *(f"w{i}" for i in range(16)))
-"""So many shards that entries share them."""
-GATHERS = {"/all/": SERVICES, "/wide/": WIDE}
-TOP = 5
-LEAST = 0.75
-PATIENCE_MS = 1500
+WIDE_SERVICES = (*SERVICES, *(f"w{i}" for i in range(16)))
+"""Enough shards that entries divide a query among themselves."""
+GATHERED_SERVICES = {"/all/": SERVICES, "/wide/": WIDE_SERVICES}
+"""Services whose answers a gather route merges, by path prefix."""
+TOP_K = 5
+MIN_COVERAGE = 0.75
+DEADLINE_MS = 1500
 
 
 def document(version: int) -> dict:
-    """Returns a document; each version has a route of its own."""
+    """Returns a document; each version adds a route named after it."""
     route = {
         "hostname": HOST,
         "timeout-ms": 1500,
         "target-latency-ms": 300,
         "max-attempts": 2,
     }
-    gather = {"top-k": TOP, "min-coverage": LEAST, "route-type": "safe"}
+    gather = {
+        "top-k": TOP_K,
+        "min-coverage": MIN_COVERAGE,
+        "route-type": "safe",
+    }
     return {
         "version": version,
         "routes": [
@@ -49,7 +54,7 @@
                     "path-prefix": prefix,
                     "gather": services,
                 }
-                for prefix, services in GATHERS.items()
+                for prefix, services in GATHERED_SERVICES.items()
             ),
             {
                 **route,
@@ -66,121 +71,152 @@
                 "backend": "s1",
             },
         ],
-        "services": [{"name": s, "max-conns": 40} for s in WIDE],
+        "services": [{"name": s, "max-conns": 40} for s in WIDE_SERVICES],
     }
 
 
 class Operator:
     """Puts documents and reads them back."""
 
-    def __init__(self, world: World, rng: random.Random):
+    def __init__(self, cluster: Cluster, rng: random.Random):
         self.acknowledged = 0
-        self._world = world
+        self._cluster = cluster
         self._rng = rng
         self._pool = Pool()
         self._version = 0
 
     async def put(self) -> bool:
-        """Puts the next document, at any control instance."""
+        """Puts the next document at any control instance.
+
+        Returns whether it was accepted.
+        """
         self._version += self._rng.randint(1, 3)
         version = self._version
         body = json.dumps(document(version)).encode()
-        for address in self._world.control_addresses(self._rng):
-            end = await call(
+        for address in self._cluster.control_addresses(self._rng):
+            outcome = await call(
                 self._pool, address, "POST", "/v1/config/replace", body
             )
-            if end is not None and end.status == 200:
+            if outcome is not None and outcome.status == 200:
                 self.acknowledged = max(self.acknowledged, version)
                 return True
-            if end is not None and end.status < 500:
-                self._world.faults.append(f"a valid put got {end.status}")
+            if outcome is not None and outcome.status < 500:
+                self._cluster.violations.append(
+                    f"a valid document was rejected with status "
+                    f"{outcome.status}"
+                )
         return False
 
-    async def order(self, data_centre: str, name: str) -> bool:
-        """Evacuates a data centre, or takes that back, at any instance."""
-        path = f"/v1/evacuation/{data_centre}/{name}"
-        for address in self._world.control_addresses(self._rng):
-            end = await call(self._pool, address, "POST", path)
-            if end is not None and end.status == 200:
+    async def set_evacuation(self, data_centre: str, action: str) -> bool:
+        """Starts or finishes an evacuation at any control instance.
+
+        Args:
+            data_centre: data centre to evacuate.
+            action: ``start`` or ``finish``.
+
+        Returns whether it was accepted.
+        """
+        path = f"/v1/evacuation/{data_centre}/{action}"
+        for address in self._cluster.control_addresses(self._rng):
+            outcome = await call(self._pool, address, "POST", path)
+            if outcome is not None and outcome.status == 200:
                 return True
-            if end is not None and end.status < 500:
-                self._world.faults.append(f"an order got {end.status}")
+            if outcome is not None and outcome.status < 500:
+                self._cluster.violations.append(
+                    f"an evacuation was rejected with status {outcome.status}"
+                )
         return False
 
     async def read(self) -> int | None:
-        """Reads at one instance; it may not know, but never be behind."""
+        """Reads the document at one instance; returns its version.
+
+        An instance may fail to answer, but must not return a version older
+        than the last acknowledged one.
+        """
         before = self.acknowledged
-        address = self._world.control_addresses(self._rng)[0]
-        end = await call(self._pool, address, "GET", "/v1/config/get")
-        if end is None or end.status != 200:
+        address = self._cluster.control_addresses(self._rng)[0]
+        outcome = await call(self._pool, address, "GET", "/v1/config/get")
+        if outcome is None or outcome.status != 200:
             return None
-        version = json.loads(end.body)["version"]
+        version = json.loads(outcome.body)["version"]
         if version < before:
-            self._world.faults.append(f"read {version} after {before}")
+            self._cluster.violations.append(
+                f"read version {version} after {before} was acknowledged"
+            )
         return version
 
 
 class Caller:
-    """Sends queries and bookings; checks each answer."""
+    """Sends queries and bookings; checks each answer.
 
-    def __init__(self, world: World, rng: random.Random):
-        self.endings: Counter = Counter()
-        self._world = world
+    Attributes:
+        statuses: number of answers by HTTP status; 0 stands for no answer.
+    """
+
+    def __init__(self, cluster: Cluster, rng: random.Random):
+        self.statuses: Counter = Counter()
+        self._cluster = cluster
         self._rng = rng
         self._pool = Pool()
         self._addresses: list[str] = []
-        self._refused: list[str] = []
+        self._rejected: list[str] = []
 
-    async def look_up(self) -> None:
-        """Asks one directory for entries; keeps the old answer otherwise."""
-        machine = self._rng.choice(self._world.of_role("control"))
+    async def resolve_entries(self) -> None:
+        """Updates the entry addresses from one directory, if it answers."""
+        machine = self._rng.choice(self._cluster.of_role("control"))
         address = f"{machine.ip}:{PORTS['directory']}"
-        end = await call(self._pool, address, "GET", "/v1/resolve?name=h")
-        if end is not None and end.status == 200:
-            self._addresses = json.loads(end.body)["addrs"]
+        outcome = await call(self._pool, address, "GET", "/v1/resolve?name=h")
+        if outcome is not None and outcome.status == 200:
+            self._addresses = json.loads(outcome.body)["addrs"]
 
-    async def ask(self, prefix: str, name: str = "x") -> int:
-        """Sends one request; returns its status, 0 for none."""
+    async def send_request(self, prefix: str, name: str = "x") -> int:
+        """Sends one request; returns the HTTP status, 0 without an answer."""
         if not self._addresses:
             return 0
         request_id = f"{self._rng.getrandbits(64):016x}"
         address = self._rng.choice(self._addresses)
         data = (
             f"GET {prefix}{name} HTTP/1.1\r\nHost: {HOST}\r\n"
-            f"Request-Id: {request_id}\r\nDeadline-Ms: {PATIENCE_MS}\r\n\r\n"
+            f"Request-Id: {request_id}\r\nDeadline-Ms: {DEADLINE_MS}\r\n\r\n"
         ).encode()
-        self._world.harm.note_sent(request_id, address.partition(":")[0])
+        self._cluster.crash_requests.record_send(
+            request_id, address.partition(":")[0]
+        )
         fut = asyncio.get_running_loop().create_future()
 
-        def done(end) -> None:
+        def done(outcome) -> None:
             if not fut.done():
-                fut.set_result(end)
+                fut.set_result(outcome)
 
         sending = self._pool.send(address, data, done, lambda _: True)
-        end = await within(PATIENCE_MS / 1000, fut)
-        if end is None:
+        outcome = await wait_for_result(DEADLINE_MS / 1000, fut)
+        if outcome is None:
             sending.cancel()
-        status = end.status if isinstance(end, HttpAnswer) else 0
-        if name == TARGET:
+        status = outcome.status if isinstance(outcome, HttpAnswer) else 0
+        if name == CRASH_PATH_SUFFIX:
             return status
-        self.endings[status] += 1
-        self._check(prefix, request_id, end, status)
+        self.statuses[status] += 1
+        self._check(prefix, request_id, outcome, status)
         return status
 
-    def _check(self, prefix: str, request_id: str, end, status: int) -> None:
-        if prefix in GATHERS and status == 200:
-            self._check_merged(request_id, end, GATHERS[prefix])
+    def _check(
+        self, prefix: str, request_id: str, outcome, status: int
+    ) -> None:
+        if prefix in GATHERED_SERVICES and status == 200:
+            self._check_merged(request_id, outcome, GATHERED_SERVICES[prefix])
         elif status == 200:
             service = {"/once/": "s0"}.get(prefix, "s1")
-            if end.body != records(request_id, service):
-                self._fault(request_id, "another request's records")
-        if status == 503 and retry_after(end) >= REFUSED_S:
-            self._fault(request_id, "taken for one that ends searchers")
+            if outcome.body != make_records(request_id, service):
+                self._add_violation(request_id, "records of another request")
+        if status == 503 and retry_after(outcome) >= QUARANTINE_RETRY_AFTER_S:
+            self._add_violation(
+                request_id, "rejected as a request that crashes searchers"
+            )
         if prefix == "/once/" and status in (429, 503):
-            self._refused.append(request_id)
+            self._rejected.append(request_id)
 
-    def _check_merged(self, request_id: str, end, shards) -> None:
-        headers = {k.lower().decode(): v.decode() for k, v in end.headers}
+    def _check_merged(self, request_id: str, outcome, shards) -> None:
+        headers = {k.lower().decode(): v.decode() for k, v in outcome.headers}
         stamps = headers["part-stamps"].split(", ")
         services = [stamp.partition(".")[0] for stamp in stamps]
         missing = int(headers.get("missing-parts", "0"))
@@ -188,26 +224,35 @@
             stamp != f"{s}.{request_id}"
             for s, stamp in zip(services, stamps, strict=True)
         ):
-            self._fault(request_id, "a signature of another request")
+            self._add_violation(request_id, "part stamp of another request")
         if len(set(services)) + missing != len(shards):
-            self._fault(request_id, "parts and missing don't make up the set")
-        if len(services) < LEAST * len(shards):
-            self._fault(request_id, "below the coverage floor")
-        parts = (records(request_id, service) for service in services)
-        if end.body != merge_greatest(parts, TOP):
-            self._fault(request_id, "not the greatest records of its parts")
+            self._add_violation(
+                request_id,
+                "parts and missing parts do not add up to all services",
+            )
+        if len(services) < MIN_COVERAGE * len(shards):
+            self._add_violation(
+                request_id, "coverage below the minimum of the route"
+            )
+        parts = (make_records(request_id, service) for service in services)
+        if outcome.body != merge_greatest(parts, TOP_K):
+            self._add_violation(
+                request_id, "merged records are not the greatest of the parts"
+            )
 
-    def _fault(self, request_id: str, text: str) -> None:
-        self._world.faults.append(f"{request_id}: {text}")
+    def _add_violation(self, request_id: str, text: str) -> None:
+        self._cluster.violations.append(f"{request_id}: {text}")
 
     def check_runs(self) -> None:
-        """Bookings ran once at most, and never when they were refused."""
-        for request_id in self._refused:
-            if self._world.runs[request_id, "s0"]:
-                self._fault(request_id, "refused as not run, and ran")
+        """Checks that no booking rejected as not run has run."""
+        for request_id in self._rejected:
+            if self._cluster.runs[request_id, "s0"]:
+                self._add_violation(
+                    request_id, "rejected as not run, but it ran"
+                )
 
 
-def retry_after(end: HttpAnswer) -> float:
-    """Returns the seconds after which a caller is told to come back."""
-    headers = {key.lower(): value for key, value in end.headers}
+def retry_after(outcome: HttpAnswer) -> float:
+    """Returns the seconds of the ``Retry-After`` header, or 0 without one."""
+    headers = {key.lower(): value for key, value in outcome.headers}
     return float(headers.get(b"retry-after", b"0"))
--- a/soak/world.py
+++ b/soak/cluster.py
@@ -1,4 +1,4 @@
-"""The processes of a soak run: starts, stops and breaks them by their ids."""
+"""The processes of a soak run; signals go only to processes it started."""
 
 from __future__ import annotations
 
@@ -17,21 +17,24 @@
 from greengagemoor.aio.pool import Pool
 from greengagemoor.platform.boot import METRICS_PORT
 from greengagemoor.serving.metrics import PREFIX
-from soak.harm import Harm
+from soak.crash_requests import CrashRequests
 from soak.searchers import call
 
 if TYPE_CHECKING:
     import random
 
-DRAIN_S = 3.0
-EVACUATE_S = 5.0
+DRAIN_LIMIT_S = 3.0
+"""Time after an acknowledged drain in which sends may still arrive."""
+EVACUATION_LIMIT_S = 5.0
+"""Time after an accepted evacuation in which sends may still arrive."""
 PORTS = {"front": 8226, "ready": 8227, "control": 8224, "directory": 8225}
 PEER_PORTS = "7740,7755"
 GRACE_S = 6
-PLACES = ("dc1", "dc2", "dc3")
+DATA_CENTRES = ("dc1", "dc2", "dc3")
 LINK_MBPS = 1
-"""So slow, by the settings, that entries share queries over many shards."""
-SEEDS = 3
+"""Low enough that entries divide queries over many shards among themselves."""
+SEED_ADDRESS_COUNT = 3
+"""Control instances named as seeds in the first settings."""
 
 
 @attrs.define(eq=False)
@@ -41,6 +44,7 @@
     Attributes:
         checkout: folder of the code that its process runs; the current folder
             if None.
+        disturbed_at: monotonic time of the last start or signal.
     """
 
     name: str
@@ -55,19 +59,26 @@
 
     @property
     def data_centre(self) -> str:
-        """Where it stands; those of a role stand in all places by turns."""
+        """Data centre; the machines of a role are spread over all in turn."""
         number = int(self.ip.rpartition(".")[2])
-        return PLACES[(number - 1) % len(PLACES)]
+        return DATA_CENTRES[(number - 1) % len(DATA_CENTRES)]
 
 
-class World:
-    """All machines of a run, and what was seen of them."""
+class Cluster:
+    """All machines of a run, and what was observed of them.
+
+    Attributes:
+        violations: guarantees that were violated, one text each.
+        runs: number of runs by request id and service.
+        crashed: searchers that a request crashed, to be restarted.
+        evacuated: start of each evacuation that is checked, by data centre.
+    """
 
     def __init__(self, folder: Path, net: int, controls: int, entries: int):
         self.folder = folder
-        self.faults: list[str] = []
+        self.violations: list[str] = []
         self.runs: Counter = Counter()
-        self.harm = Harm(self)
+        self.crash_requests = CrashRequests(self)
         self.crashed: list = []
         self.evacuated: dict[str, float] = {}
         self._pool = Pool()
@@ -80,7 +91,9 @@
             self._machine("entry", f"127.{net}.2.{i + 1}")
             for i in range(entries)
         ]
-        self._seeds = [m.ip for m in self.of_role("control")][:SEEDS]
+        self._seeds = [m.ip for m in self.of_role("control")][
+            :SEED_ADDRESS_COUNT
+        ]
 
     def _machine(self, role: str, ip: str) -> Machine:
         folder = self.folder / f"{role}-{ip}"
@@ -92,7 +105,7 @@
         return [m for m in self.machines if m.role == role]
 
     def control_addresses(self, rng: random.Random) -> list[str]:
-        """Returns operators' addresses in a random order."""
+        """Returns the addresses for operators in a random order."""
         ips = [m.ip for m in self.of_role("control")]
         rng.shuffle(ips)
         return [f"{ip}:{PORTS['control']}" for ip in ips]
@@ -124,23 +137,25 @@
             "ip": machine.ip,
             "zone": machine.data_centre,
             "limits.link-mbps": LINK_MBPS,
-            **{f"zones.{place}": "here" for place in PLACES},
+            **{f"zones.{data_centre}": "here" for data_centre in DATA_CENTRES},
             "internal-port-range": PEER_PORTS,
             "seed-addrs": ",".join(f"{s}:{PORTS['control']}" for s in seeds),
             "bootstrap": str(machine.bootstrap).lower(),
             "heartbeat-ms": "400",
             "bounds.grace-s": str(GRACE_S),
         }
-        serves = {"entry": ("front", "ready"), "control": PORTS}[machine.role]
+        listeners = {"entry": ("front", "ready"), "control": PORTS}[
+            machine.role
+        ]
         if machine.role == "control":
-            serves = ("control", "directory")
+            listeners = ("control", "directory")
             lines["data-dir"] = str(machine.folder / "data")
-        for name in serves:
+        for name in listeners:
             lines[f"listen-addrs.{name}"] = f"{machine.ip}:{PORTS[name]}"
         return "".join(f"{key}={value}\n" for key, value in lines.items())
 
     def kill(self, machine: Machine, *, wipe: bool = False) -> None:
-        """Kills a process, perhaps with its disk, and starts it again."""
+        """Kills a process and starts it again; ``wipe`` empties its disk."""
         machine.process.kill()
         machine.process.wait()
         if wipe:
@@ -148,10 +163,11 @@
         self.start(machine)
 
     def replace(self, machine: Machine) -> None:
-        """Ends a control machine for good; an empty one comes elsewhere.
+        """Replaces a control machine by an empty one at a new address.
 
-        Its settings are as stale as those of the others. One that names
-        nobody who lives can't reach anybody until it is told of others.
+        The new machine gets the same, possibly stale, seeds as the others. If
+        none of the seeds runs any more, the seeds are changed to a machine
+        that does, since the new one could not reach any instance otherwise.
         """
         machine.process.kill()
         machine.process.wait()
@@ -167,9 +183,9 @@
         self.start(new)
 
     def change_seeds(self, ips: list[str]) -> None:
-        """Writes other seeds into all settings; processes see them by and by.
+        """Writes other seeds into the settings of all started machines.
 
-        A process that runs reads them within a second.
+        A running process reads them within a second.
         """
         self._seeds = ips
         for machine in self.machines:
@@ -177,12 +193,14 @@
                 self._write_settings(machine)
 
     async def gauges(self, machine: Machine) -> dict[str, float]:
-        """Returns the metrics of a process; none if it doesn't answer."""
+        """Returns the metrics of a process; empty if it does not answer."""
         address = f"{machine.ip}:{METRICS_PORT}"
-        end = await call(self._pool, address, "GET", "/metrics")
-        if end is None or end.status != 200:
+        outcome = await call(self._pool, address, "GET", "/metrics")
+        if outcome is None or outcome.status != 200:
             return {}
-        pairs = (line.rsplit(" ", 1) for line in end.body.decode().splitlines())
+        pairs = (
+            line.rsplit(" ", 1) for line in outcome.body.decode().splitlines()
+        )
         return {
             name.removeprefix(PREFIX): float(value)
             for name, value in pairs
@@ -190,7 +208,7 @@
         }
 
     def undisturbed_s(self, ip: str) -> float:
-        """Returns how long a machine's process has run undisturbed."""
+        """Returns the seconds since the last start or signal of a machine."""
         now = time.monotonic()
         ages = (now - m.disturbed_at for m in self.machines if m.ip == ip)
         return next(ages, 0.0)
@@ -201,33 +219,42 @@
         machine.process.send_signal(number)
 
     def check_drain(self, searcher, now: float) -> None:
-        """A drained searcher gets nothing a few seconds later."""
+        """Checks that a drained searcher no longer receives requests."""
         since = searcher.draining_since
-        if since is not None and now > since + DRAIN_S:
-            self.faults.append(
+        if since is not None and now > since + DRAIN_LIMIT_S:
+            self.violations.append(
                 f"a send {now - since:.1f} s after a drain was acknowledged"
             )
 
     def check_evacuated(self, searcher, now: float) -> None:
-        """An evacuated data centre gets nothing a few seconds later.
+        """Checks that an evacuated data centre no longer receives requests.
 
-        An entry that was frozen or cut off knows it a moment after it is back.
+        It is not checked while an entry has been started or signalled
+        recently: that entry may not have received the evacuation yet.
         """
         since = self.evacuated.get(searcher.data_centre)
         entries = self.of_role("entry")
-        calm = all(self.undisturbed_s(e.ip) > EVACUATE_S for e in entries)
-        if since is not None and calm and now > since + EVACUATE_S:
-            self.faults.append(
+        undisturbed = all(
+            self.undisturbed_s(e.ip) > EVACUATION_LIMIT_S for e in entries
+        )
+        if (
+            since is not None
+            and undisturbed
+            and now > since + EVACUATION_LIMIT_S
+        ):
+            self.violations.append(
                 f"a send {now - since:.1f} s after {searcher.data_centre} "
                 f"was evacuated"
             )
 
-    def check_ends(self) -> None:
-        """No process may end by itself."""
+    def check_exits(self) -> None:
+        """Checks that no process has exited by itself; restarts those."""
         for machine in self.machines:
             code = machine.process.poll()
             if code is not None:
-                self.faults.append(f"{machine.name} ended by itself: {code}")
+                self.violations.append(
+                    f"{machine.name} exited by itself with code {code}"
+                )
                 self.start(machine)
 
     def stop(self) -> None:
--- a/soak/daemons.py
+++ b/soak/daemons.py
@@ -1,4 +1,4 @@
-"""Daemons of two builds: one group, and the same settings and disks."""
+"""Daemons of two builds in one group, with the same settings and disks."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
     "searcher-2": "2,3,4,5",
     "searcher-3": "4,5,0,1",
 }
-WHOLE = 100
-"""Result code of a whole answer."""
+CODE_WHOLE = 100
+"""Result code of an answer with full coverage."""
 STAGES = (("old",), ("old", "new"), ("new", "old"), ("new",), ("old",))
-"""Builds that the instances run by turns, one stage after the other."""
+"""Builds assigned in turn to the instances, for each stage."""
 
 
 class Daemons:
-    """Three control instances, two entries, three stand-in searchers."""
+    """Three control instances, two entries and three stand-in searchers."""
 
     def __init__(self, fleet: Fleet, builds: dict[str, Path]):
-        self.faults: list[str] = []
+        self.violations: list[str] = []
         self._fleet = fleet
         self._builds = builds
         names = (*CONTROLS, *ENTRIES, *SHARDS)
@@ -35,8 +35,8 @@
         self._peer = {name: next(ports) for name in names}
         self._version = 0
 
-    def play(self) -> None:
-        """Plays all stages; the disks stay, and so do the settings."""
+    def run_stages(self) -> None:
+        """Runs all stages with the same disks and settings."""
         for number, names in enumerate(STAGES):
             self._start(names, first=number == 0)
             if number == 0:
@@ -93,10 +93,12 @@
         shown = self._ctl("show")
         version = shown.get("version", 0)
         if version != self._version:
-            self.faults.append(f"shows {version} after {self._version}")
+            self.violations.append(
+                f"document version is {version}, expected {self._version}"
+            )
 
     def _apply(self, build: str) -> None:
-        """Applies a document with the operators' tool of a build."""
+        """Applies a document with the ``greengagemoorctl`` of a build."""
         document = json.loads((EXAMPLES / "contracts.json").read_text())
         document["connection_places"] = 10 + self._version
         path = self._fleet.folder / "document.json"
@@ -104,43 +106,47 @@
         with contextlib.chdir(self._builds[build]):
             applied = self._ctl("apply", str(path))
         if applied.get("version", 0) <= self._version:
-            self.faults.append(f"{build} applied {applied}")
+            self.violations.append(
+                f"build {build}: applying a document gave {applied}"
+            )
         self._version = applied.get("version", self._version)
 
     def _check_requests(self, names: tuple[str, ...]) -> None:
-        """Each entry answers a query and a request that runs at most once."""
-        wait_for("all searchers", self._are_all_known)
+        """Checks that each entry answers a query and a one-time booking."""
+        wait_for("all searchers", self._are_all_searchers_known)
         for name in ENTRIES:
-            for words in (
+            for arguments in (
                 ("lookup", "--body", '{"pump": 7}'),
                 ("book-crew", "--key", "a", "--not-repeatable"),
             ):
                 at = self._http[name]
-                run = self._fleet.ctl(
-                    "request", "contracts", *words, "--at", at
+                done = self._fleet.ctl(
+                    "request", "contracts", *arguments, "--at", at
                 )
-                if json.loads(run.stdout or "{}").get("code") != WHOLE:
-                    self.faults.append(f"{names}: {name}: {run.stdout}")
+                if json.loads(done.stdout or "{}").get("code") != CODE_WHOLE:
+                    self.violations.append(
+                        f"builds {names}: {name} answered {done.stdout}"
+                    )
 
-    def _are_all_known(self) -> bool:
-        told = (
+    def _are_all_searchers_known(self) -> bool:
+        statuses = (
             self._fleet.get(self._http[name], "/v1/status") or {}
             for name in ENTRIES
         )
         return all(
             status.get("state") == "ready"
             and len(status["backend_servers"]) == len(SHARDS)
-            for status in told
+            for status in statuses
         )
 
-    def _ctl(self, *words: str) -> dict:
+    def _ctl(self, *arguments: str) -> dict:
         at = self._http[wait_for("a leader", self._leader)]
-        done = self._fleet.ctl(*words, "--at", at)
+        done = self._fleet.ctl(*arguments, "--at", at)
         return json.loads(done.stdout or "{}")
 
 
-def play(builds: dict[str, Path]) -> list[str]:
-    """Plays the stages; returns what one build took from the other wrongly.
+def run_daemons(builds: dict[str, Path]) -> list[str]:
+    """Runs the stages; returns the violated guarantees.
 
     Args:
         builds: checkouts by the names ``old`` and ``new``.
@@ -148,7 +154,7 @@
     with tempfile.TemporaryDirectory() as name, Fleet(Path(name)) as fleet:
         daemons = Daemons(fleet, builds)
         try:
-            daemons.play()
+            daemons.run_stages()
         except TimeoutError as exc:
-            daemons.faults.append(str(exc))
-    return daemons.faults
+            daemons.violations.append(str(exc))
+    return daemons.violations
--- a/soak/searchers.py
+++ b/soak/searchers.py
@@ -1,4 +1,4 @@
-"""Stand-in searchers in this process: they answer, announce, count runs."""
+"""Stand-in searchers in this process: answers, heartbeats, run counts."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from greengagemoor.aio.pool import Pool
 from greengagemoor.aio.requests import Limits
 from greengagemoor.aio.server import HttpServer
-from soak.harm import TARGET
+from soak.crash_requests import CRASH_PATH_SUFFIX
 
 if TYPE_CHECKING:
     import random
 
-ANNOUNCE_S = 0.4
-RECORDS = 4
+HEARTBEAT_INTERVAL_S = 0.4
+RECORDS_PER_ANSWER = 4
 
 
-def records(request_id: str, service: str) -> bytes:
-    """Returns what a service's searchers answer to a request."""
+def make_records(request_id: str, service: str) -> bytes:
+    """Returns the answer of a service's searchers to a request."""
     return b"".join(
         hashlib.md5(f"{request_id}/{service}/{i}".encode()).digest()
-        for i in range(RECORDS)
+        for i in range(RECORDS_PER_ANSWER)
     )
 
 
-async def within(seconds: float, fut: asyncio.Future) -> object | None:
-    """Returns a result, or None if it does not come in time.
+async def wait_for_result(seconds: float, fut: asyncio.Future) -> object | None:
+    """Returns the result of a future, or None after this many seconds.
 
-    ``asyncio.wait_for`` keeps a cancellation that comes together with the
-    result to itself; whoever asks in a loop would then go on for ever.
+    ``asyncio.wait_for`` swallows a cancellation that arrives together with the
+    result; a caller that sends in a loop would then never end.
     """
     try:
         async with asyncio.timeout(seconds):
@@ -46,64 +46,70 @@
 async def call(
     pool: Pool, address: str, method: str, path: str, body: bytes = b""
 ) -> HttpAnswer | None:
-    """Makes one HTTP call; None if no whole answer came within a second."""
+    """Makes one HTTP call; None without a complete answer within 1 s."""
     fut = asyncio.get_running_loop().create_future()
     head = (
         f"{method} {path} HTTP/1.1\r\nHost: {address}\r\n"
         f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
     )
 
-    def done(end) -> None:
+    def done(outcome) -> None:
         if not fut.done():
-            fut.set_result(end)
+            fut.set_result(outcome)
 
     sending = pool.send(address, head.encode() + body, done, lambda _: True)
-    end = await within(1.0, fut)
-    if end is None:
+    outcome = await wait_for_result(1.0, fut)
+    if outcome is None:
         sending.cancel()
-    return end if isinstance(end, HttpAnswer) else None
+    return outcome if isinstance(outcome, HttpAnswer) else None
 
 
 class Searcher:
-    """One start of a searcher; it may be slow, and it may leave."""
+    """One incarnation of a searcher.
+
+    Attributes:
+        slow_until: loop time until which its answers are slow.
+        draining_since: loop time at which a control instance acknowledged the
+            drain; infinite before that, None without a drain.
+    """
 
     def __init__(
         self,
-        world,
+        cluster,
         service: str,
         address: str,
         rng: random.Random,
         data_centre: str = "dc1",
     ):
-        self.world = world
+        self.cluster = cluster
         self.service = service
         self.address = address
         self.data_centre = data_centre
         self.rng = rng
         self.searcher_id = f"i-{rng.getrandbits(40):010x}"
-        self.born = time.time_ns() // 1_000_000
+        self.started_at_ms = time.time_ns() // 1_000_000
         self.own_runs = 0
         self.slow_until = 0.0
         self.draining_since: float | None = None
         self.ended = False
-        self.runs: Counter[str] = world.runs
+        self.runs: Counter[str] = cluster.runs
         self._sequence = 0
         self._pool = Pool()
         self._server = HttpServer(address, self, Limits())
         self._task: asyncio.Task | None = None
 
     async def start(self) -> None:
-        """Listens and announces itself."""
+        """Listens and starts to send heartbeats."""
         await self._server.start()
-        self._task = asyncio.create_task(self._announce())
+        self._task = asyncio.create_task(self._send_heartbeats())
 
-    async def _announce(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            await self.beat()
-            await asyncio.sleep(ANNOUNCE_S)
+            await self.send_heartbeat()
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
-    async def beat(self) -> bool:
-        """Announces itself once; tells whether it was acknowledged."""
+    async def send_heartbeat(self) -> bool:
+        """Sends one heartbeat; returns whether it was acknowledged."""
         self._sequence += 1
         state = "draining" if self.draining_since is not None else "ready"
         body = {
@@ -111,7 +117,7 @@
             "address": self.address,
             "zone": self.data_centre,
             "version": "v1",
-            "born": self.born,
+            "born": self.started_at_ms,
             "slots": 4,
             "state": state,
             "cold-left-ms": 0,
@@ -119,31 +125,31 @@
         }
         path = f"/v1/instances/{self.searcher_id}/heartbeat"
         data = json.dumps(body).encode()
-        for address in self.world.control_addresses(self.rng):
-            end = await call(self._pool, address, "POST", path, data)
-            if end is not None and end.status == 200:
+        for address in self.cluster.control_addresses(self.rng):
+            outcome = await call(self._pool, address, "POST", path, data)
+            if outcome is not None and outcome.status == 200:
                 return True
         return False
 
     def take(self, req) -> None:
-        """Runs a request, after its work time."""
+        """Answers a request after the work time."""
         loop = asyncio.get_running_loop()
         if (req.header(b"expect-instance") or "") != self.searcher_id:
             req.conn.reply(req, 421, ((b"Not-Executed", b"1"),))
             return
         request_id = req.header(b"request-id") or ""
-        self.world.check_drain(self, loop.time())
-        self.world.check_evacuated(self, loop.time())
+        self.cluster.check_drain(self, loop.time())
+        self.cluster.check_evacuated(self, loop.time())
         self.runs[request_id, self.service] += 1
         self.own_runs += 1
-        if req.path.endswith(TARGET):
-            self.world.harm.note_run(request_id, self)
+        if req.path.endswith(CRASH_PATH_SUFFIX):
+            self.cluster.crash_requests.record_run(request_id, self)
             return
-        work = 0.3 if loop.time() < self.slow_until else 0.005
-        loop.call_later(work, self._answer, req, request_id)
+        work_s = 0.3 if loop.time() < self.slow_until else 0.005
+        loop.call_later(work_s, self._answer, req, request_id)
 
     def gone(self, req) -> None:
-        """The entry cut the send; the work is dropped."""
+        """Ignores that the entry cancelled the request."""
 
     def _answer(self, req, request_id: str) -> None:
         headers = (
@@ -152,18 +158,20 @@
             (b"Server-Load", b"1,0,4"),
             (b"Keep-Alive", b"timeout=10"),
         )
-        req.conn.reply(req, 200, headers, records(request_id, self.service))
+        req.conn.reply(
+            req, 200, headers, make_records(request_id, self.service)
+        )
 
     async def drain(self) -> None:
-        """Says that it leaves, serves a little longer, and ends."""
+        """Reports that it drains, serves for 4 s more and stops."""
         self.draining_since = float("inf")
-        if await self.beat():
+        if await self.send_heartbeat():
             self.draining_since = asyncio.get_running_loop().time()
         await asyncio.sleep(4.0)
         self.stop()
 
     def stop(self) -> None:
-        """Ends without a word."""
+        """Stops without a drain."""
         self.ended = True
         if self._task is not None:
             self._task.cancel()
--- a/tests/test_soak/test_calls.py
+++ b/tests/test_soak/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls of the soak's own callers."""
+"""HTTP calls of the soak test."""
 
 from __future__ import annotations
 
@@ -7,35 +7,34 @@
 from soak.searchers import call
 
 
-class AnswersAtOnce:
-    """Stands for a pool: the answer comes in the next turn of the loop."""
+class ImmediatePool:
+    """Fake pool whose answer arrives in the next iteration of the loop."""
 
     def send(self, address, data, done, is_mine):
         asyncio.get_running_loop().call_soon(done, None)
         return self
 
     def cancel(self):
-        """Nothing runs."""
+        """Does nothing: no send is in progress."""
 
 
 class TestCall:
-    """A call ends when it is cancelled."""
+    """Cancellation of a call."""
 
-    def test_also_together_with_its_answer(self):
-        """A run of the soak never ended, after all its processes had.
+    def test_cancelled_as_its_answer_arrives(self):
+        """A cancelled caller ends although its answer arrives at the same time.
 
-        Its callers were cancelled just as an answer came; the wait kept the
-        cancellation to itself, and they asked again, for ever:
-
-            connect(6, 127.33.2.1:8226) = ECONNREFUSED, 1,200 times a second
+        The wait once swallowed such a cancellation. The callers of a soak run
+        then went on after all its processes had ended, with 1,200 refused
+        connections a second.
         """
 
-        async def ask_on():
+        async def send_calls():
             for _ in range(5):
-                await call(AnswersAtOnce(), "127.0.0.1:1", "GET", "/")
+                await call(ImmediatePool(), "127.0.0.1:1", "GET", "/")
 
         async def run():
-            task = asyncio.create_task(ask_on())
+            task = asyncio.create_task(send_calls())
             await asyncio.sleep(0)
             asyncio.get_running_loop().call_soon(task.cancel)
             await asyncio.wait([task])
--- a/tests/test_soak/test_short.py
+++ b/tests/test_soak/test_short.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from soak.__main__ import play
+from soak.__main__ import run_seed
 
 
 class TestSeeds:
-    """Promises hold while processes are killed, frozen and ended."""
+    """Guarantees hold while processes are killed, suspended and stopped."""
 
     def test_seed_1(self):
-        assert play(1, 4.0) == []
+        assert run_seed(1, 4.0) == []
