--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""Programs that show how greengagemoor is used."""
+"""Example programs that use greengagemoor."""
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,4 +1,4 @@
-"""The main job: control, two entries, a service, a document and a query."""
+"""Starts a small fleet, applies a document and sends one query."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def main() -> int:
-    """Runs the demo; the last line printed is the answer, in JSON."""
+    """Runs the demo; prints the answer as JSON in the last line."""
     with tempfile.TemporaryDirectory() as name, Fleet(Path(name)) as fleet:
         answer = run(fleet)
     print(json.dumps(answer))
@@ -30,16 +30,19 @@
     control_http = ports[0]
     entries = {"entry-1": ports[2:4], "entry-2": ports[4:6]}
     start_instances(fleet, ports[0:2], entries)
-    say("processes started; waiting for the control group")
+    print_progress("processes started; waiting for the control group")
     wait_for("a leader", lambda: leads(fleet, control_http))
     applied = fleet.ctl(
         "apply", str(EXAMPLES / "contracts.json"), "--at", control_http
     )
-    say(f"document applied: {json.loads(applied.stdout)}")
+    print_progress(f"document applied: {json.loads(applied.stdout)}")
     start_searchers(fleet, entries, ports[6:9])
-    wait_for("all searchers on both entries", lambda: all_known(fleet, entries))
+    wait_for(
+        "all searchers on both entries",
+        lambda: all_searchers_known(fleet, entries),
+    )
     found = fleet.get(ports[2], "/v1/addresses?service=contracts")
-    say(f"addresses: {found}")
+    print_progress(f"addresses: {found}")
     first = found["addresses"][0]["http_address"]
     asked = fleet.ctl(
         "request", "contracts", "lookup", "--body", '{"pump": 7}', "--at", first
@@ -74,7 +77,7 @@
 
 
 def start_searchers(fleet: Fleet, entries: dict, addresses: list[str]) -> None:
-    """Starts the stand-in searchers; each shard is held by two."""
+    """Starts the stand-in searchers; two of them hold each shard."""
     known = ",".join(http for http, _ in entries.values())
     for (name, shards), address in zip(SHARDS.items(), addresses, strict=True):
         fleet.start_searcher(name, address, entries=known, shards=shards)
@@ -85,8 +88,8 @@
     return (fleet.get(http, "/v1/members") or {}).get("role") == "leader"
 
 
-def all_known(fleet: Fleet, entries: dict) -> bool:
-    """Whether every entry is ready and knows every searcher."""
+def all_searchers_known(fleet: Fleet, entries: dict) -> bool:
+    """Whether every entry is ready and lists every searcher."""
     statuses = [
         fleet.get(http, "/v1/status") or {} for http, _ in entries.values()
     ]
@@ -97,7 +100,7 @@
     )
 
 
-def say(text: str) -> None:
+def print_progress(text: str) -> None:
     """Prints a line of progress."""
     print(text, flush=True)
 
--- a/examples/embed_membership.py
+++ b/examples/embed_membership.py
@@ -1,7 +1,8 @@
-"""Embeds the membership part without a daemon: two processes that find out.
+"""Embeds the membership part without a daemon, for two processes.
 
-Shows the whole contract of a decider: messages and a time go in, messages come
-out, and whoever embeds it carries them. Prints what the second process knows.
+Shows the contract of a decider: it receives messages and the time and returns
+messages, which the embedding program delivers. Prints the membership that the
+second process has learnt.
 """
 
 from __future__ import annotations
@@ -16,8 +17,8 @@
 STEP_S = 0.05
 
 
-def make(name: str, seeds: dict[str, str]) -> MembershipDecider:
-    """Returns the membership part of one process."""
+def make_decider(name: str, seeds: dict[str, str]) -> MembershipDecider:
+    """Returns the membership decider of one process."""
     row = InstanceRow(
         name=name,
         incarnation=1,
@@ -33,21 +34,21 @@
 
 
 def run() -> dict[str, str]:
-    """Returns how ``b`` sees the instances after some seconds."""
-    parts = {
-        "a": make("a", {}),
-        "b": make("b", {"a": "a:9000"}),
+    """Returns the states of the instances at ``b`` after ``SECONDS``."""
+    deciders = {
+        "a": make_decider("a", {}),
+        "b": make_decider("b", {"a": "a:9000"}),
     }
-    waiting: list[tuple[str, Received]] = []
+    in_flight: list[tuple[str, Received]] = []
     for step in range(int(SECONDS / STEP_S)):
-        arrived, waiting = waiting, []
-        for name, part in parts.items():
+        arrived, in_flight = in_flight, []
+        for name, decider in deciders.items():
             msgs = [msg for to, msg in arrived if to == name]
-            for out in part.step(step * STEP_S, msgs):
-                if isinstance(out, Send):
-                    received = Received(name, out.payload, f"{name}:9000")
-                    waiting.append((out.to, received))
-    table = parts["b"].state.table
+            for output in decider.step(step * STEP_S, msgs):
+                if isinstance(output, Send):
+                    received = Received(name, output.payload, f"{name}:9000")
+                    in_flight.append((output.to, received))
+    table = deciders["b"].state.table
     return {name: row.state.value for name, row in table.live_instances.items()}
 
 
--- a/examples/fleet.py
+++ b/examples/fleet.py
@@ -1,4 +1,4 @@
-"""Starts the processes of a small fleet and ends every one of them."""
+"""Starts the processes of a small fleet and stops all of them."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 import urllib3
 
 EXAMPLES = Path(__file__).parent
-WAIT_S = 40.0
-LOOK_S = 0.05
-STOP_WAIT_S = 30.0
+WAIT_TIMEOUT_S = 40.0
+POLL_INTERVAL_S = 0.05
+STOP_TIMEOUT_S = 30.0
 
 
 def free_addresses(count: int) -> list[str]:
@@ -32,7 +32,7 @@
 
 
 class Fleet:
-    """Processes started by a script; leave the context to end them all."""
+    """Processes started by a script; all end when the context exits."""
 
     def __init__(self, folder: Path):
         self.folder = folder
@@ -45,14 +45,14 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Ends every process that is still there."""
+        """Stops every process that still runs."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.terminate()
         for process in self.processes.values():
             try:
-                process.wait(STOP_WAIT_S)
+                process.wait(STOP_TIMEOUT_S)
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.wait()
@@ -65,7 +65,7 @@
         self._start(name, "-m", "greengagemoor.cmd.daemon", str(path))
 
     def restart_instance(self, name: str) -> None:
-        """Starts a daemon again with the settings it had."""
+        """Starts a daemon again with its previous settings."""
         settings = dict(self.settings[name])
         del settings["instance"]
         self.start_instance(name, **settings)
@@ -108,11 +108,11 @@
         )
 
     def get(self, address: str, path: str) -> Any:
-        """Returns the JSON of a GET, None if nobody answers."""
+        """Returns the JSON of a GET, or None without a JSON answer."""
         return self.call("GET", address, path)
 
     def call(self, method: str, address: str, path: str, body=None) -> Any:
-        """Returns the JSON of a request, None if nobody answers."""
+        """Returns the JSON of a request, or None without a JSON answer."""
         data = None if body is None else json.dumps(body)
         try:
             url = f"http://{address}{path}"
@@ -121,16 +121,16 @@
             return None
 
 
-def wait_for(what: str, condition, seconds: float = WAIT_S) -> Any:
+def wait_for(what: str, condition, seconds: float = WAIT_TIMEOUT_S) -> Any:
     """Returns the first true value of ``condition()``.
 
     Raises:
-        TimeoutError: it stayed false.
+        TimeoutError: it was still false after that many seconds.
     """
-    until = time.monotonic() + seconds
-    while time.monotonic() < until:
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline:
         value = condition()
         if value:
             return value
-        time.sleep(LOOK_S)
+        time.sleep(POLL_INTERVAL_S)
     raise TimeoutError(f"waited {seconds} s for {what}")
--- a/examples/searcher.py
+++ b/examples/searcher.py
@@ -14,15 +14,22 @@
 import urllib3
 from cheroot import wsgi
 
-ANNOUNCE_EVERY_S = 0.3
+ANNOUNCE_INTERVAL_S = 0.3
 CALL_TIMEOUT_S = 1.0
-GUARDIANS = 2
-STALE = 601
+ANNOUNCE_TARGETS = 2
+"""Number of entries that receive the announcements."""
+CODE_ANNOUNCEMENT_STALE = 601
+"""Code of the reply to an announcement with an outdated sequence."""
 
 
 @attrs.define
 class Behaviour:
-    """What the stand-in does; tests change it over HTTP."""
+    """Behaviour of the stand-in; tests change it over HTTP.
+
+    Attributes:
+        shed: whether it rejects every attempt with the reason ``shed``.
+        silent: whether it sends no announcements.
+    """
 
     state: str = "ready"
     delay_s: float = 0.0
@@ -34,7 +41,7 @@
 
 
 class Searcher:
-    """Serves attempts, counts runs by request id, and renews announcements."""
+    """Serves attempts, counts runs by request id, renews announcements."""
 
     def __init__(
         self,
@@ -55,7 +62,7 @@
         self._incarnation = int(time.time() * 1000)
         self._sequence = 0
         self._renewal = 0
-        self._told: dict | None = None
+        self._announced: dict | None = None
         self._cancelled: set[str] = set()
         self._http = urllib3.PoolManager(retries=False, timeout=CALL_TIMEOUT_S)
         self._stop = threading.Event()
@@ -65,8 +72,8 @@
         )
 
     def run(self) -> None:
-        """Serves until ``stop``."""
-        announcer = threading.Thread(target=self._announce_always)
+        """Serves until ``stop`` is called."""
+        announcer = threading.Thread(target=self._announce_periodically)
         announcer.start()
         server = threading.Thread(target=self._server.safe_start)
         server.start()
@@ -76,44 +83,44 @@
         server.join()
 
     def stop(self) -> None:
-        """Ends; says that it is gone."""
+        """Announces the state ``gone`` and stops."""
         self.behaviour.state = "gone"
         self._announce()
         self._stop.set()
 
-    def _announce_always(self) -> None:
-        while not self._stop.wait(ANNOUNCE_EVERY_S):
+    def _announce_periodically(self) -> None:
+        while not self._stop.wait(ANNOUNCE_INTERVAL_S):
             if not self.behaviour.silent:
                 self._announce()
 
     def _announce(self) -> None:
-        guardians = self._find_guardians()
-        server = self._describe([name for name, _ in guardians])
-        if server != self._told:
+        targets = self._find_targets()
+        server = self._describe([name for name, _ in targets])
+        if server != self._announced:
             self._sequence += 1
-            self._told = server
+            self._announced = server
         self._renewal += 1
         body = {
             "server": {**server, "sequence": self._sequence},
             "renewal": self._renewal,
         }
-        for _, address in guardians:
+        for _, address in targets:
             self._announce_to(address, body)
 
     def _announce_to(self, address: str, body: dict) -> None:
         reply = self._call(
             "POST", f"http://{address}/v1/announcements", json.dumps(body)
         )
-        if reply and reply["code"] == STALE:
+        if reply and reply["code"] == CODE_ANNOUNCEMENT_STALE:
             self._sequence = max(self._sequence, reply["sequence"]) + 1
 
-    def _find_guardians(self) -> list[tuple[str, str]]:
+    def _find_targets(self) -> list[tuple[str, str]]:
         for entry in self._entries:
             found = self._call(
                 "GET", f"http://{entry}/v1/addresses?service={self._service}"
             )
             if found and found.get("addresses"):
-                rows = found["addresses"][:GUARDIANS]
+                rows = found["addresses"][:ANNOUNCE_TARGETS]
                 return [(r["instance"], r["http_address"]) for r in rows]
         return []
 
@@ -123,12 +130,12 @@
         except (urllib3.exceptions.HTTPError, ValueError):
             return None
 
-    def _describe(self, guardians: list[str]) -> dict:
-        told = self.behaviour
+    def _describe(self, targets: list[str]) -> dict:
+        behaviour = self.behaviour
         version = {
-            "version": told.version,
-            "shard_count": told.shard_count,
-            "shards": told.shards,
+            "version": behaviour.version,
+            "shard_count": behaviour.shard_count,
+            "shards": behaviour.shards,
         }
         return {
             "name": self._name,
@@ -136,11 +143,11 @@
             "address": self._address,
             "data_centre": self._data_centre,
             "service": self._service,
-            "state": told.state,
+            "state": behaviour.state,
             "versions": [version],
             "slots": 5,
             "connection_cap": 40,
-            "announced_to": guardians,
+            "announced_to": targets,
         }
 
     def _serve(self, environ: dict, start_response):
@@ -167,15 +174,15 @@
         return [data]
 
     def _attempt(self, body: dict) -> tuple[str, dict]:
-        told = self.behaviour
-        refusal = self._refusal(body)
-        if refusal:
-            reply = {"ran": False, "reason": refusal, "retry_after_s": 0.05}
+        behaviour = self.behaviour
+        reason = self._rejection_reason(body)
+        if reason:
+            reply = {"ran": False, "reason": reason, "retry_after_s": 0.05}
             return "503 Service Unavailable", reply
         self.runs[body["request_id"]] += 1
-        if self._sleep(told.delay_s, body["attempt_id"]):
+        if self._sleep(behaviour.delay_s, body["attempt_id"]):
             return "409 Conflict", {"ran": True, "reason": "cancelled"}
-        held = [shard for shard in body["shards"] if shard in told.shards]
+        held = [shard for shard in body["shards"] if shard in behaviour.shards]
         reply = {
             "attempt_id": body["attempt_id"],
             "request_id": body["request_id"],
@@ -188,22 +195,22 @@
                 for s in held
             ],
             "absent": [s for s in body["shards"] if s not in held],
-            "state": told.state,
+            "state": behaviour.state,
         }
         return "200 OK", reply
 
-    def _refusal(self, body: dict) -> str:
-        told = self.behaviour
-        if told.shed:
+    def _rejection_reason(self, body: dict) -> str:
+        behaviour = self.behaviour
+        if behaviour.shed:
             return "shed"
-        if told.state == "draining":
+        if behaviour.state == "draining":
             return "draining"
-        return "version_gone" if body["snapshot"] != told.version else ""
+        return "version_gone" if body["snapshot"] != behaviour.version else ""
 
     def _sleep(self, seconds: float, attempt_id: str) -> bool:
-        """Works for a time; returns whether it was cancelled meanwhile."""
-        until = time.monotonic() + seconds
-        while time.monotonic() < until:
+        """Simulates work; returns whether the attempt was cancelled."""
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline:
             if attempt_id in self._cancelled:
                 return True
             time.sleep(min(0.01, seconds))
@@ -215,10 +222,12 @@
     address: Annotated[str, typer.Argument(help="IP:PORT to listen on.")],
     service: Annotated[str, typer.Option()] = "contracts",
     entries: Annotated[
-        str, typer.Option(help="IP:PORT, comma-separated.")
+        str, typer.Option(help="Entries, IP:PORT, comma-separated.")
     ] = "",
     data_centre: Annotated[str, typer.Option()] = "dc-1",
-    shards: Annotated[str, typer.Option(help="Held, comma-separated.")] = "",
+    shards: Annotated[
+        str, typer.Option(help="Shards held, comma-separated.")
+    ] = "",
     shard_count: Annotated[int, typer.Option()] = 6,
 ) -> None:
     """Runs one stand-in searcher until SIGTERM."""
