--- a/greengagemoor/codes.py
+++ b/greengagemoor/codes.py
@@ -126,5 +126,5 @@
 
 
 def is_not_run(code: Code) -> bool:
-    """Returns whether the code guarantees that no attempt has started."""
+    """Returns whether the code guarantees that the request has not run."""
     return Code.NOT_RUN_OVERLOAD <= code < Code.FAILED
--- a/greengagemoor/document.py
+++ b/greengagemoor/document.py
@@ -36,7 +36,14 @@
 
 @attrs.frozen
 class RequestClass:
-    """Rules for one kind of request; times in seconds, shares from 0 to 1."""
+    """Rules for one kind of request; times in seconds.
+
+    Attributes:
+        least_coverage: least share of the needed shards, from 0 to 1, with
+            which an answer is given.
+        hedge_budget, retry_budget: shards that may be hedged, or retried, per
+            shard that is asked for the first time.
+    """
 
     name: str = attrs.field(validator=is_name)
     repeatable: bool = True
