--- a/greengagemoor/aio/dialpace.py
+++ b/greengagemoor/aio/dialpace.py
@@ -11,9 +11,9 @@
 
     After a power loss machines come back some ten milliseconds apart. One that
     is still down drops the SYN packet, which TCP retransmits only after a
-    second, so an entry got its first link a second after its start. Short
-    first attempts connect as soon as the other side listens; longer ones then
-    bound the load on a machine that stays down.
+    second, so an entry would get its first link only a second after its start.
+    Short first attempts connect as soon as the other side listens; longer ones
+    then bound the load on a machine that stays down.
 
     Attributes:
         connect_s: connect timeout; at first some ten round trips between data
--- a/greengagemoor/aio/requests.py
+++ b/greengagemoor/aio/requests.py
@@ -42,7 +42,7 @@
 
     @property
     def way_s(self) -> float | None:
-        """Network time as measured by the caller; None if not known.
+        """Part of the caller's wait spent on the network; None if not known.
 
         A new connection costs one round trip before the request is sent.
         """
