--- a/greengagemoor/cmd/ctl.py
+++ b/greengagemoor/cmd/ctl.py
@@ -143,7 +143,7 @@
     member_id: Annotated[str, typer.Argument(help="As `members` shows it.")],
     at: At = DEFAULT_AT,
 ) -> None:
-    """Removes a member that will not return from the control group."""
+    """Removes from the control group a member that will not return."""
     reply = call(at, "DELETE", f"/v1/members/{member_id}")
     show_body(reply.body)
     end_with(reply)
@@ -154,7 +154,7 @@
     service: Annotated[str, typer.Argument(help="Name of the service.")],
     at: At = DEFAULT_AT,
 ) -> None:
-    """Shows which entries the callers of a service are told to use."""
+    """Shows which entries the callers of a service should use."""
     reply = call(at, "GET", f"/v1/addresses?service={service}")
     show_body(reply.body)
     end_with(reply)
