--- a/greengagemoor/control/founding.py
+++ b/greengagemoor/control/founding.py
@@ -30,8 +30,8 @@
     founders must reply to the same round of requests that they belong to no
     group, and a majority must still hold the disks with which they were
     configured to found one. An earlier group would have none of the votes of
-    that majority, so it cannot have accepted anything. The first of the
-    majority by name founds the group.
+    that majority, so it cannot have accepted anything. Of the founders that
+    still hold their disks, the first by name founds the group.
     """
     if not may_found(state):
         return False
--- a/greengagemoor/control/joining.py
+++ b/greengagemoor/control/joining.py
@@ -18,9 +18,9 @@
     from greengagemoor.control.state import State
 
 TARGETS_PER_ROUND = 3
-"""Instances asked per round besides the reported leader. Each forwards the
-request, so 300 processes that ask once per second cause 1,200 requests per
-second across all members."""
+"""Instances asked per round besides the reported leader, so 300 processes that
+ask once per second send 1,200 requests per second across all members. Members
+other than the leader also forward each request to it."""
 ROUNDS_BEFORE_BACKOFF = 8
 """Rounds at the interval ``Timing.join``; the interval then doubles each round,
 up to ``MAX_BACKOFF_FACTOR`` times ``Timing.join``."""
@@ -135,7 +135,10 @@
 
 
 def take_seeds(state: State, msg: SeedsChanged) -> None:
-    """Replaces the peers after a change of settings and asks them at once."""
+    """Replaces the peers after a change of settings.
+
+    If this process is asking to join, the next round is due at once.
+    """
     state.peers = {
         name: address
         for name, address in msg.seeds.items()
--- a/greengagemoor/control/messages.py
+++ b/greengagemoor/control/messages.py
@@ -125,7 +125,7 @@
 
     Attributes:
         op_id: chosen by the requester; echoed in the reply.
-        command: the command to append; None if the operation appends none.
+        command: the command to append; None for reads and REMOVE_MEMBER.
         known_version: the requester's document version; READ returns the text
             only if it is newer.
         member_id: the member to remove, for REMOVE_MEMBER.
@@ -146,7 +146,8 @@
         code: a ``codes.Code``; after NOT_LEADER, retry at ``leader``.
         version: document version after the operation, or the current one.
         text: document text, or the recorded outcome of a claim.
-        winner: for a conflict, the apply id accepted for that version.
+        winner: apply id accepted for the version that the apply asked for;
+            after a conflict that of another apply, '' if it is not known.
         verdict: a ``codes.ClaimVerdict`` value, for CLAIM.
         detail: faults, one per line.
         packed: the numbered document, compressed, for READ_NUMBERED.
--- a/greengagemoor/control/replication.py
+++ b/greengagemoor/control/replication.py
@@ -26,7 +26,10 @@
 
 MAX_ENTRIES_PER_APPEND = 256
 SNAPSHOT_EVERY = 1000
+"""Least number of applied entries between two snapshots."""
 KEPT_BEHIND_SNAPSHOT = 200
+"""Entries before a snapshot that stay in the log, so that members which are
+only slightly behind need no snapshot."""
 
 
 def broadcast(state: State) -> None:
--- a/greengagemoor/control/state.py
+++ b/greengagemoor/control/state.py
@@ -44,7 +44,8 @@
     Attributes:
         election: minimum time without a leader before an election; the
             maximum is twice that.
-        join: between rounds of join requests, before any backoff.
+        join: interval between rounds of join requests, before any backoff.
+        confirm: shortest interval between two ``Confirmed`` messages.
         retire: how long a member must be silent before the leader may remove
             it, and how long a voter must be without a leader before it asks
             to join again.
