--- a/greengagemoor/feed/heard.py
+++ b/greengagemoor/feed/heard.py
@@ -149,8 +149,9 @@
             > self._remaining_warm_up_s(now, known) + WARM_UP_TOLERANCE_S
         ):
             return True
-        # After a gap, another control instance may have told entries that the
-        # searcher is lost, with a higher sequence than the last one sent here.
+        # After a gap, another control instance may have sent entries a row that
+        # marks the searcher lost, with a higher sequence than the last one sent
+        # here.
         gap = now - known.received_at
         return gap > RESEND_AFTER_INTERVALS * self._announce_s
 
--- a/greengagemoor/feed/hub.py
+++ b/greengagemoor/feed/hub.py
@@ -186,8 +186,9 @@
     def set_services(self, names: frozenset[str]) -> None:
         """Sets the services that the document in force defines.
 
-        An announcement may come from another writer. It marks the previous
-        searcher at its address gone only if its service is defined.
+        An announcement may come from a writer that is no searcher. It marks
+        the previous searcher at its address gone only if its service is
+        defined.
         """
         self._services = names
 
--- a/greengagemoor/feed/messages.py
+++ b/greengagemoor/feed/messages.py
@@ -17,7 +17,8 @@
     """State of a searcher.
 
     A control instance infers ``LOST`` from missing announcements; the searcher
-    itself reports the others.
+    itself reports the others. ``GONE`` is also set if another searcher
+    announces itself at the same address.
     """
 
     READY = "ready"
@@ -194,8 +195,8 @@
     Attributes:
         fingerprint: fingerprint of the request.
         epoch: number of times it was cleared.
-        ended: the first few incarnations that terminated while running it
-            in this epoch.
+        ended: a few of the incarnations that terminated while running it in
+            this epoch.
         failed: incarnations that terminated in a trial of it.
         sure: whether one of these terminations has no other possible cause.
         route: name of its route, for operators.
--- a/greengagemoor/feed/rows.py
+++ b/greengagemoor/feed/rows.py
@@ -44,11 +44,10 @@
     """Rows received from other control instances.
 
     They are sent only to entries that subscribe, together with this instance's
-    own rows.
-    After a restart of all processes, the first control instances to return
-    would otherwise know only part of the searchers: with two of five back, most
-    shards had a single searcher for the first 0.3 s, and its few connections
-    were used up at once.
+    own rows. After a restart of all processes, the first control instances to
+    return would otherwise know only part of the searchers: with two of five
+    back, most shards had a single searcher for the first 0.3 s, and its few
+    connections were used up at once.
     """
 
     def __init__(self, unconfirmed_s: float, ended_s: float):
--- a/greengagemoor/feed/spread.py
+++ b/greengagemoor/feed/spread.py
@@ -19,9 +19,9 @@
     from greengagemoor.feed.subscribers import Subscribers
 
 ENFORCED_STANDINGS = (Standing.SUSPECT, Standing.QUARANTINED)
-"""Standings whose rows are sent on a new link. Watched requests are omitted: a
-crash of many searchers leaves thousands of them, and all entries may link at
-the same time."""
+"""Standings whose rows are sent on a new link between an entry and a control
+instance. Watched requests are omitted: a crash of many searchers leaves
+thousands of them, and all entries may link at the same time."""
 
 
 class SuspectSpread:
--- a/greengagemoor/feed/subscribers.py
+++ b/greengagemoor/feed/subscribers.py
@@ -15,7 +15,7 @@
     from greengagemoor.feed.messages import Subscribe
 
 MAX_ACK_DELAY_S = 0.6
-"""Longest delay of an acknowledgement; callers wait 1 s for it."""
+"""Longest delay of an acknowledgement; the announcing searcher waits 1 s."""
 ENTRY_RETENTION_S = 600.0
 """How long an entry counts for connection shares after its link closed."""
 
