--- a/greengagemoor/forward/budget.py
+++ b/greengagemoor/forward/budget.py
@@ -11,9 +11,9 @@
 allowance holds for each window, whenever it begins."""
 START_SHARE = 0.3
 """Share of the slack that a process has at its start. If all entries are killed
-just after they have spent their slack, they spend 1.3 times of it in a window;
-as they use 0.85 of the slack and not all of the ratio, that is still within the
-whole allowance."""
+just after they have spent their slack, they spend 1.3 times their slack in one
+window. As their slack is 0.85 of the allowed one, and they don't use all of the
+ratio, the sum stays within the whole allowance."""
 
 
 @attrs.define(eq=False, repr=False)
--- a/greengagemoor/forward/choosing.py
+++ b/greengagemoor/forward/choosing.py
@@ -35,7 +35,8 @@
 OTHER_DATA_CENTRE = 1.7
 """Factor on the cost of a searcher in another data centre."""
 COLD = 1.6
-"""Factor on the cost of a searcher that has just started."""
+"""Factor on the cost of a cold searcher: one that has just started, or had no
+requests during an evacuation."""
 FAILURE_WEIGHT = 6.0
 """Increase of the factor on a searcher's cost if all its sends fail."""
 FAILURE_SMOOTHING = 0.2
@@ -136,7 +137,7 @@
 
 
 def _queue(row: Searcher) -> float:
-    """Returns the expected queueing time of a send, in times of a request.
+    """Returns a send's expected queueing time, in work times of a request.
 
     Counts this entry's own sends only. The load that a searcher reports is
     out of date by the next send, and all entries receive it: where few
--- a/greengagemoor/forward/completion.py
+++ b/greengagemoor/forward/completion.py
@@ -30,8 +30,8 @@
     Ending.NOT_RUN_SUSPECT: 0.3,
     Ending.NOT_RUN_QUARANTINED: 60.0,
 }
-"""Seconds after which a caller should retry: a searcher's restart takes about
-as long as the longest pause of one, a queue as long as a few requests."""
+"""Seconds after which a caller should retry: a searcher restarts in about the
+time of its longest pauses, and a queue drains in the time of a few requests."""
 
 
 def look(tables: Tables, request: Request) -> None:
@@ -109,7 +109,7 @@
 def finish(tables: Tables, request: Request, ending: Ending) -> None:
     """Sends the final answer.
 
-    Remaining sends are cancelled, at once or after they may have lingered.
+    Sends still under way are cancelled, at once or after ``_linger_s``.
     """
     request.done = True
     tables.requests.pop(request.token, None)
@@ -136,8 +136,8 @@
         # All entries wait for the result of the trial.
         return TRIAL_LINGER_S
     if ending in (Ending.ANSWERED, Ending.PARTIAL):
-        # Most answers still come within this time, and their connections
-        # can be kept.
+        # The connection of a send that is answered within this time can be
+        # kept.
         return tables.policy.linger_s
     return 0.0
 
@@ -185,7 +185,7 @@
 
 
 def _describe(request: Request) -> str:
-    """Returns, for the log, the services without an answer and the last one."""
+    """Returns log text: services without an answer, and the last to answer."""
     missing = (leg for leg in request.legs if leg.answer is None)
     words = [f"{leg.service}:{_leg_state(leg)}" for leg in missing]
     answered = [leg for leg in request.legs if leg.answer is not None]
--- a/greengagemoor/forward/delegating.py
+++ b/greengagemoor/forward/delegating.py
@@ -48,7 +48,10 @@
 network delay and one tick."""
 FIRST_AVOID_S = 1.0
 LONGEST_AVOID_S = 8.0
+"""First and longest time, in seconds, for which a helper that did not
+acknowledge a part is avoided; it doubles with each such part in a row."""
 REFUSED_AVOID_S = 0.5
+"""Seconds for which a helper is avoided after it rejected a part."""
 
 
 def hand_out(tables: Tables, request: Request) -> None:
@@ -88,7 +91,7 @@
 
 
 def _choose_helpers(tables: Tables, wanted: int) -> list[Helper]:
-    """Returns the available helpers of lowest cost, ties broken randomly."""
+    """Returns the available helpers of lowest cost, similar ones at random."""
     free = [h for h in tables.helpers.values() if h.avoid_until <= tables.now]
     cost = {
         h.name: h.slowness.value * (1 + h.running) + 0.3 * tables.rng.random()
@@ -143,8 +146,8 @@
     """Queries the shards from here if the helper has not acknowledged them.
 
     That counts as a second send of each shard. If much of that budget is used
-    already, the helper is more likely overloaded than gone, and this entry
-    keeps waiting for its answer.
+    already, the helper is more likely overloaded than unreachable, and this
+    entry keeps waiting for its answer.
     """
     if part.taken or part.part_id not in tables.parts:
         return
--- a/greengagemoor/forward/evidence.py
+++ b/greengagemoor/forward/evidence.py
@@ -31,8 +31,9 @@
     from greengagemoor.forward.tables import Attempt, Tables
 
 CONFIRM_WITHIN_S = 5.0
-"""Seconds within which the end of a searcher must be confirmed; a silent one is
-reported as lost after three missed announcements, about three seconds."""
+"""Seconds within which the end of a searcher must be confirmed; control
+instances report a silent one as lost about three seconds after its last
+announcement."""
 TOGETHER_S = 0.25
 """Seconds within which searchers of one rack or machine end together."""
 OTHER_SUSPECTS_S = 4.0
--- a/greengagemoor/forward/leaving.py
+++ b/greengagemoor/forward/leaving.py
@@ -10,7 +10,7 @@
 """Number of delays kept. Where there are many entries, each of them receives a
 gather about every three seconds."""
 PRIOR_S = 0.012
-"""Least delay assumed, in seconds, until that many answers were written: with
+"""Least delay assumed, in seconds, until ``KEPT_DELAYS`` delays are known: with
 many entries, each of them receives a dozen gathers a minute. A guess that is
 10 ms too long costs at most a hundredth of each answer that waits; one that is
 too short makes it late."""
--- a/greengagemoor/forward/messages.py
+++ b/greengagemoor/forward/messages.py
@@ -257,7 +257,10 @@
 
 @values.frozen
 class CloseIdle:
-    """Closes the idle connections to an address that gets no more requests."""
+    """Closes the idle connections to an address.
+
+    The searcher there has restarted, or its data centre is evacuated.
+    """
 
     address: str
 
--- a/greengagemoor/forward/proof.py
+++ b/greengagemoor/forward/proof.py
@@ -28,8 +28,8 @@
 def note_end(attempt: Attempt, msg: AttemptEnded) -> None:
     """Records a searcher that seems to have ended while running a request.
 
-    The searcher may merely have closed an idle connection that broke; it is
-    counted if it then can't be reached any more.
+    If an idle connection broke, the searcher may merely have closed it; it is
+    counted only if it then can't be reached any more.
     """
     leg, searcher = attempt.leg, attempt.searcher
     if msg.outcome is Outcome.BROKEN and not msg.began:
--- a/greengagemoor/forward/sending.py
+++ b/greengagemoor/forward/sending.py
@@ -24,8 +24,8 @@
 MAX_SENDS = 5
 """Maximum sends of one leg, those that never ran included."""
 MIN_HEDGE_DELAY_S = 0.004
-"""Least delay of a hedge in seconds: within a network round trip the answer may
-be on its way."""
+"""Least delay of a hedge in seconds: before a network round trip has passed, no
+answer can be late."""
 LOOK_AGAIN_S = 0.01
 """Interval in seconds at which waiting legs check for a free connection, and
 late ones for budget; a tenth of the time that a request usually takes."""
@@ -129,8 +129,8 @@
         request = leg.request
         wanted = leg.is_open and not leg.attempts and not request.done
         if wanted and request.is_unproved:
-            # Searchers crashed under this request: sent before any searcher
-            # has answered it, it might crash another one.
+            # Searchers seem to have ended while running this request. Until
+            # one has answered it, sending it might end another.
             request.unproved_legs.append((leg, Outcome.NOT_RUN))
         elif wanted and not send(tables, leg):
             return
@@ -221,7 +221,11 @@
 def _may_retry(
     tables: Tables, leg: Leg, outcome: Outcome, *, stale: bool
 ) -> bool:
-    """Takes a retry from the budget, unless the request was never sent."""
+    """Whether the budget allows a retry; counts it.
+
+    If nothing was sent, it is not counted. If an idle connection broke, it is
+    allowed even if the budget is used up.
+    """
     if outcome is Outcome.NOT_SENT:
         return True
     budget = tables.budget_of(leg.service)
@@ -237,8 +241,8 @@
     As it is the same searcher, this is no further attempt: a route that allows
     one attempt gets an answer too, instead of a broken connection. It counts
     against the retry budget, because a searcher that received the request and
-    reset the connection looks the same: uncounted, 244 retries were sent where
-    242 are allowed.
+    reset the connection looks the same: uncounted, such retries would exceed
+    the budget (244 sends where 242 are allowed).
     """
     searcher = leg.asked[-1]
     if tables.searchers.get(searcher.searcher_id) is not searcher:
--- a/greengagemoor/forward/tables.py
+++ b/greengagemoor/forward/tables.py
@@ -187,7 +187,7 @@
 
     @property
     def sends(self) -> int:
-        """Number of sends by this entry."""
+        """Number of sends; a leg that a helper queries counts as one."""
         return sum(leg.sends for leg in self.legs)
 
 
--- a/greengagemoor/forward/timing.py
+++ b/greengagemoor/forward/timing.py
@@ -14,7 +14,7 @@
 """Number of response times below which quantiles are estimated."""
 UPPER_QUANTILE_RATIO = 1.8
 """Ratio of an upper quantile to the median, assumed until enough answers came:
-the 0.95 quantile of log-normal times of sigma 0.35 is 1.8 times their mean."""
+log-normal times of sigma 0.35 have a 0.95 quantile of 1.8 medians."""
 MIN_WEIGHT = 0.15
 """Least weight of an answer in the smoothed slowness; it applies where answers
 are frequent."""
--- a/greengagemoor/forward/trials.py
+++ b/greengagemoor/forward/trials.py
@@ -114,7 +114,7 @@
 
 
 def _start_trial(tables: Tables, trial: Trial) -> None:
-    """Starts a trial: sends one leg of the first held request that fits."""
+    """Sends one leg of the first held request with an available searcher."""
     if tables.now >= trial.until:
         _release_grant(tables, trial)
         _advance(tables, trial)
@@ -132,8 +132,8 @@
 def _release_grant(tables: Tables, trial: Trial) -> None:
     """Releases a grant that was not used.
 
-    Its callers have left, or no searcher had a free place. If such grants were
-    kept, a few of them would spend all trials of a harmless request.
+    Its callers have left, or no searcher had a free connection. If such grants
+    were kept, a few of them would spend all trials of a harmless request.
     """
     trial.stage = Stage.IDLE
     trial.claim = next(tables.ids)
