--- a/greengagemoor/membership/documents.py
+++ b/greengagemoor/membership/documents.py
@@ -121,8 +121,9 @@
 def check_freshness(state: State) -> None:
     """Notifies the query decider when control becomes ready or unready.
 
-    Also gives up the connection shares when the share lease has expired: the
-    control group counts this instance's names and places only within it.
+    Also gives up the connection shares when the share lease has expired: only
+    for that long does the control group still count the entries and
+    connection_places of a replaced document.
     """
     unconfirmed_s = state.now - max(state.fresh_at, state.read_at)
     may_hold = state.confirmed and unconfirmed_s < SHARE_LEASE_S
--- a/greengagemoor/membership/gossip.py
+++ b/greengagemoor/membership/gossip.py
@@ -29,13 +29,17 @@
 MAX_ROWS_PER_PROBE = 24
 MAX_BUCKETS_PER_REPLY = 16
 MIN_DIFFERING_ACKS = 3
-# Of all instances of a data centre together.
+"""Consecutive acks with a different root after which tables are compared."""
 REMOTE_PROBES_PER_ROUND = 4.0
+"""Probes to other data centres, by all instances of a data centre together."""
 MAX_REMOTE_SHARE = 0.3
+"""Largest share of an instance's probes that go to other data centres."""
 OTHER_REGION_SHARE = 0.25
+"""Share of the remote probes that go to another region."""
 LOST_PROBE_EVERY_ROUNDS = 10
 MAX_SUSPICION_PROBES_PER_ROUND = 4
 EXTRA_SENDS_PER_ROW = 2
+"""Sends of a changed row beyond the binary logarithm of the instance count."""
 
 
 def run_round(state: State) -> None:
@@ -252,7 +256,7 @@
 
 
 def take_keys(state: State, sender: str, msg: BucketKeys) -> None:
-    """Sends rows that the sender lacks, and requests its newer ones."""
+    """Sends rows that the sender lacks or has older; requests newer ones."""
     theirs = {key.key: key.order for key in msg.keys}
     known = state.table.rows
     newer_here = [
--- a/greengagemoor/membership/table.py
+++ b/greengagemoor/membership/table.py
@@ -109,7 +109,7 @@
         self.root ^= digest
 
     def forget_gone(self, before: float) -> list[str]:
-        """Removes rows that went before a time; returns their keys."""
+        """Removes rows gone since before a time; returns their keys."""
         # Rows are inserted when they become gone, so the oldest come first.
         old = [
             key
