--- a/greengagemoor/platform/boot.py
+++ b/greengagemoor/platform/boot.py
@@ -26,7 +26,7 @@
 
 
 def read_caller_address(path: Path) -> str:
-    """Reads the callers' address; '' if it isn't set or can't be read.
+    """Reads the address that callers connect to; '' if unset or unreadable.
 
     It needs few imports of this package, so that a process listens before it
     spends time on importing the rest.
