--- a/greengagemoor/query/messages.py
+++ b/greengagemoor/query/messages.py
@@ -131,7 +131,7 @@
 
 @attrs.frozen
 class DrainSeen:
-    """A searcher reported in an answer that it drains; to be announced."""
+    """Notifies membership of a drain that a searcher reported in an answer."""
 
     service: str
     name: str
--- a/greengagemoor/query/requests.py
+++ b/greengagemoor/query/requests.py
@@ -40,7 +40,7 @@
 
 def _check_request(state: State, request: Request) -> Refusal | None:
     if state.closing:
-        leaving = "this entry instance is leaving"
+        leaving = "this entry instance is shutting down"
         return Refusal(Code.NOT_RUN_LEAVING, LEAVING_RETRY_S, leaving)
     if state.document is None:
         no_document = "no document received yet"
--- a/greengagemoor/query/tables.py
+++ b/greengagemoor/query/tables.py
@@ -33,7 +33,18 @@
 
 @attrs.define(eq=False)
 class Searcher:
-    """A backend server, with this entry instance's measurements of it."""
+    """A backend server, with this entry instance's measurements of it.
+
+    Attributes:
+        share: connections that this entry instance may hold to it.
+        adaptive: whether ``limit`` bounds its attempts in flight below
+            ``share``.
+        latency: moving average, in seconds.
+        failures, sheds: consecutive failed and shed attempts.
+        limit_cut_at: time at which a shed attempt last lowered ``limit``.
+        connections: most attempts in flight so far, taken as the number of
+            open connections.
+    """
 
     info: BackendServer
     share: int
@@ -131,7 +142,21 @@
 
 @attrs.define(eq=False)
 class Query:
-    """A request sent to searchers, with all waiters that joined this flight."""
+    """A request sent to searchers, with all waiters that joined this flight.
+
+    Attributes:
+        snapshot: index version that it is pinned to, -1 before.
+        needed: shards that a whole answer covers.
+        unplaced: shards that wait for an attempt.
+        reflected: results by shard, as JSON text.
+        reasons: for each shard, why an attempt gave no result.
+        tries: number of attempts by shard, including refused ones.
+        tried: names of the searchers that were asked, by shard.
+        refusals: number of refused attempts by shard.
+        paused: by searcher name, until when one that refused is not asked.
+        send_before: end of its claim; infinite without a claim.
+        flight_key: equal requests with this key join it; None if none may.
+    """
 
     id: int
     request: Request
