--- a/greengagemoor/routing/routes.py
+++ b/greengagemoor/routing/routes.py
@@ -16,7 +16,12 @@
 
 
 class Grade(enum.Enum):
-    """How often a request may be executed."""
+    """How often a request may be executed.
+
+    A ``REPEATABLE`` request may be hedged and retried. A ``ONCE_PER_ATTEMPT``
+    request is never hedged, and not retried once a searcher answered it or its
+    connection broke after it was sent.
+    """
 
     REPEATABLE = "repeatable"
     ONCE_PER_ATTEMPT = "once_per_attempt"
@@ -81,6 +86,8 @@
     """Rules for each searcher of a service.
 
     Attributes:
+        connection_cap: most connections to a searcher, from all entries
+            together.
         cold_for_s: warm-up time after a start.
         cold_per_s: most requests per second to a searcher that is warming up;
             0 for no limit.
