--- a/greengagemoor/serving/dialect.py
+++ b/greengagemoor/serving/dialect.py
@@ -161,10 +161,10 @@
         """Rejects an announcement; another instance may accept it."""
 
     def write_put(self, accepted: bool, faults: str = "") -> Reply:
-        """Answers a put: accepted, rejected for its faults, or unknown."""
+        """Answers a put: accepted, rejected for faults, or not confirmed."""
 
     def write_evacuated(self, accepted: bool, fault: str = "") -> Reply:
-        """Answers an evacuation: accepted, rejected for a fault, or unknown."""
+        """Answers an evacuation: accepted, rejected, or not confirmed."""
 
     def write_document(self, text: bytes | None) -> Reply:
         """Answers a read; None if the document in force isn't confirmed."""
--- a/greengagemoor/serving/keeping.py
+++ b/greengagemoor/serving/keeping.py
@@ -18,7 +18,8 @@
     from greengagemoor.serving.durable import Durable
 
 STORE_INTERVAL_S = 1.0
-"""Seconds between checks for changes; each costs a few KB and a sync."""
+"""Seconds between checks for changes. A file is written only after a change: a
+few KB and a sync."""
 
 
 class Keeper:
--- a/greengagemoor/serving/peers.py
+++ b/greengagemoor/serving/peers.py
@@ -35,8 +35,8 @@
 class Peers:
     """Exchanges parts of queries with other entries.
 
-    Entries use separate links for them: messages of control instances go over
-    the other links, and no control instance connects here.
+    These links are separate from the links to control instances: a message
+    that arrives here is never handled as one of a control instance.
     """
 
     def __init__(
--- a/greengagemoor/serving/requestlog.py
+++ b/greengagemoor/serving/requestlog.py
@@ -17,7 +17,9 @@
 OTHERS_PER_S = 400.0
 """Lines a second for all other requests: ten of them with all steps."""
 BURST_S = 2.0
+"""Lines of this many seconds, at the rates above, may be written at once."""
 DROPPED_INTERVAL_S = 1.0
+"""Shortest interval between lines that report the number of dropped lines."""
 
 
 class RequestLog:
--- a/greengagemoor/serving/settings.py
+++ b/greengagemoor/serving/settings.py
@@ -38,6 +38,7 @@
         link_bytes_per_s: capacity of this process's network link, 0 if not
             given.
         data_centres: all data centres, () if not given.
+        seed: of the random number generator; 0 for one from the instance name.
     """
 
     instance: str
