--- a/greengagemoor/shell/routes.py
+++ b/greengagemoor/shell/routes.py
@@ -271,7 +271,7 @@
 def _operation_response(done: Done | None) -> Response:
     if done is None:
         return json_response(
-            Code.APPLY_UNKNOWN, {"detail": "no answer from the control group"}
+            Code.APPLY_UNKNOWN, {"detail": "no answer within the time limit"}
         )
     reply = done.reply
     fields = {
