--- a/greengagemoor/storage/folder.py
+++ b/greengagemoor/storage/folder.py
@@ -27,7 +27,7 @@
     """Content of the format file.
 
     Attributes:
-        format_version: version of the stored records.
+        format_version: version of the folder's format.
         owner: name of the instance that uses the folder.
         identity: random, made with the folder, so that an instance with a new
             folder is a new member.
