--- a/tests/stories.py
+++ b/tests/stories.py
@@ -27,7 +27,7 @@
 
 
 def story(fleet: FakeFleet) -> str:
-    """Returns a line for each output message of all nodes but heartbeats."""
+    """Returns a line for each output message, without the periodic ones."""
     lines = [
         f"{at:8.3f} {name}: {_format(msg)}"
         for at, name, msg in fleet.out
--- a/tests/test_bench/test_experiment.py
+++ b/tests/test_bench/test_experiment.py
@@ -63,7 +63,7 @@
         )
         assert attrs.asdict(first[0]) == attrs.asdict(second[0])
 
-    def test_without_hedges_fewer_attempts_are_sent(self):
+    def test_without_second_sends_fewer_attempts_are_sent(self):
         base = run_variant("lockers", 0.35, range(1, 2), 6.0, ({}, []))
         overrides = mechanisms.get("second-sends")()
         other = run_variant("lockers", 0.35, range(1, 2), 6.0, overrides)
--- a/tests/test_control/test_elections.py
+++ b/tests/test_control/test_elections.py
@@ -18,10 +18,10 @@
         assert fleet.nodes[leader].control.state.term == term
 
     def test_healed_member_does_not_unseat_the_leader(self, fleet):
-        """Applies failed for a second whenever a network partition healed.
+        """Guards against applies that fail whenever a partition heals.
 
-        The partitioned follower had raised its term in elections that it could
-        not win, and deposed the leader when it returned.
+        A partitioned follower that raises its term in elections which it can't
+        win deposes the leader when it returns.
         """
         leader = fleet.leader()
         term = fleet.nodes[leader].control.state.term
@@ -38,12 +38,12 @@
     """A member whose log ends in entries that were never committed."""
 
     def test_many_uncommitted_entries_are_replaced(self, fleet, operator):
-        """The same entries were sent for ever, 0.66 GB in a minute.
+        """Guards against the same entries being sent for ever.
 
         A partitioned leader appends several entries while the others elect a
-        new leader and commit as many. After the heal, each rejection moved the
-        next index back by one and the next send moved it forward again, so the
-        last matching entry was never reached.
+        new leader and commit as many. If, after the heal, each rejection moves
+        the next index back by one and the next send moves it forward again,
+        the last matching entry is never reached.
         """
         old = fleet.leader()
         fleet.cut_off(old)
--- a/tests/test_control/test_founding.py
+++ b/tests/test_control/test_founding.py
@@ -29,11 +29,11 @@
 
 
 class TestFounderLosesItsDisk:
-    """Losing the founder's disk 0.1 s after founding made reads fail for ever.
+    """Guards against a group that is lost with its founder's disk.
 
-    The founder was the only voter until the others had joined, and acknowledged
-    a document alone. After its restart with an empty disk it was no longer
-    allowed to found a group, and the others waited for it to do so.
+    If the founder is the only voter until the others have joined, it
+    acknowledges a document alone. If it then loses its disk, it may not found a
+    group any more, and the others wait for it to do so: reads fail for ever.
     """
 
     def test_acknowledged_document_is_kept(self):
--- a/tests/test_control/test_joining.py
+++ b/tests/test_control/test_joining.py
@@ -20,10 +20,11 @@
 class TestReplacedOneByOne:
     """Two of five machines are replaced; then a disk and all power are lost.
 
-    Reads failed for ever, although only one disk was lost at a time. The seeds
-    of the replacements were followers. These ignored join requests and did not
-    name the leader, so the replacements never joined and two lost voters stayed
-    in the list. After the next lost disk only two of five voters were left.
+    Guards against reads that fail for ever although only one disk is lost at a
+    time. The seeds of the replacements are followers. If these ignored join
+    requests and did not name the leader, the replacements would never join and
+    two lost voters would stay in the list. After the next lost disk only two of
+    five voters would be left.
     """
 
     def replace(self, fleet, lost, new):
@@ -188,9 +189,9 @@
 class TestSettingsNameOnlyItself:
     """An instance lost its disk, and its settings name only itself.
 
-    It never sent a join request, although the leader kept sending appends to
-    it: they were addressed to its previous identity and were discarded without
-    recording the sender.
+    Guards against an instance that never sends a join request although the
+    leader keeps sending appends to it: they are addressed to its previous
+    identity and discarded, so it must record their sender.
     """
 
     def test_asks_senders_to_its_previous_identity(self):
--- a/tests/test_control/test_repair.py
+++ b/tests/test_control/test_repair.py
@@ -240,11 +240,11 @@
     """A leader removes the vote of its own earlier identity at once.
 
     Guards against a list that keeps both identities of an instance that lost
-    its disk and now leads. The leader waited for an answer from the newer
-    identity, as it does for other instances, but it never answers itself. The
-    old identity stayed until it had been silent for the catch-up time of ten
-    seconds. Meanwhile only four of five votes could be given, so the group
-    could lose one member less than it reported.
+    its disk and now leads. If the leader waited for a reply of the newer
+    identity, as it does for other instances, none would come, as it never
+    replies to itself. The old identity would stay until it had been silent for
+    ``Timing.retire``. Meanwhile only four of five votes could be given, so the
+    group would tolerate one loss less than it reports.
     """
 
     FIVE = ("c1", "c2", "c3", "c4", "c5")
--- a/tests/test_feed/test_new_start.py
+++ b/tests/test_feed/test_new_start.py
@@ -149,7 +149,7 @@
         }
 
     def test_undefined_service_displaces_no_searcher(self):
-        """Such an announcement may come from another writer."""
+        """Such an announcement may come from a writer that is no searcher."""
         bench = HubBench()
         bench.hub.set_services(frozenset({"s"}))
         bench.step(m.Announced(1, OLD))
--- a/tests/test_forward/test_crashing_requests.py
+++ b/tests/test_forward/test_crashing_requests.py
@@ -2,13 +2,11 @@
 
 Guards against a gather that arrives repeatedly, at any entry and under a new id
 each time, and ends a searcher of each shard within milliseconds. Retries end a
-second one: most searchers of a service are gone for 3 s, and requests of other
-callers fail. After 3 ends such a request was sent 7 times more and ended 126
-searchers in all. Without retries 26 of 29 arrivals in 40 s still reached
-searchers, so the entries have to share what they know: ends are counted by
-incarnation of the searcher, whichever entry observed them. After three ends the
-request is sent to one more searcher, once for all entries, before it is
-rejected.
+second one: most searchers of a service are down for 3 s, and requests of other
+callers fail. To forgo retries is not enough, as each new arrival still reaches
+searchers, so the entries share what they know: ends are counted by incarnation
+of the searcher, whichever entry observed them. After three ends the request is
+sent to one more searcher, once for all entries, before it is rejected.
 """
 
 from __future__ import annotations
--- a/tests/test_forward/test_load.py
+++ b/tests/test_forward/test_load.py
@@ -1,4 +1,4 @@
-"""Loads of the model's sheets, run against simulated searchers."""
+"""Load profiles of ``bench.gather_model``, run against simulated searchers."""
 
 from __future__ import annotations
 
@@ -104,8 +104,7 @@
     due, as one of 63 shards is nearly always late. If they are due 16 ms before
     the objective of 251 ms, which only covers the network time of the caller,
     then merge, write and late timers of a process with 0.12 of a core make
-    eight of ten answers late (p50 of 269.3 and 260.4 ms), and each of these
-    earns a tenth.
+    eight of ten answers late, and each of these earns a tenth.
     """
 
     SHEET = attrs.evolve(SMALL, caller_s=0.012)
--- a/tests/test_platform/test_other_writers.py
+++ b/tests/test_platform/test_other_writers.py
@@ -1,4 +1,4 @@
-"""Announcements and documents from writers that follow no format."""
+"""Announcements and documents with arbitrary content, from any writer."""
 
 from __future__ import annotations
 
--- a/tests/test_soak/test_calls.py
+++ b/tests/test_soak/test_calls.py
@@ -24,8 +24,8 @@
     def test_cancelled_as_its_answer_arrives(self):
         """A cancelled caller ends although its answer arrives at the same time.
 
-        The wait once swallowed such a cancellation. The callers of a soak run
-        then went on after all its processes had ended, with 1,200 refused
+        If the wait swallowed such a cancellation, the callers of a soak run
+        would go on after all its processes have ended, with 1,200 refused
         connections a second.
         """
 
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -86,8 +86,7 @@
 class TestTracked:
     """Guards against binaries that are committed by accident.
 
-    A 2.9 MB wheel in the working folder was added along with a test, and
-    nothing checked the kind of tracked files. Its name was
+    A wheel in the working folder is easily added along with sources, such as
 
         py_spy-0.4.3-py2.py3-none-manylinux1_x86_64.manylinux_2_5_x86_64.whl
     """
