--- a/greengagemoor/wire/codec.py
+++ b/greengagemoor/wire/codec.py
@@ -47,10 +47,11 @@
 )
 BROADCAST_CACHE_SIZE = 16
 """Encoded messages in the cache: those sent within two ticks."""
-# Parts of messages that arrive unchanged from several instances.
+# Parts of messages that arrive with equal content from several instances.
 _CACHED_PARTS = frozenset({"SearcherRow"})
 PART_CACHE_SIZE = 2048
-"""Parts in the cache, some 400 bytes each: searchers of some hundred shards."""
+"""Parts in the cache, some 400 bytes each: searchers of a few hundred
+shards."""
 
 
 def _snake_case(name: str) -> str:
@@ -83,7 +84,7 @@
     Attributes:
         item: attrs class or enum of the value or its items, None for a
             plain value.
-        many: whether the value is a tuple.
+        repeated: whether the value is a tuple.
         command: whether the value is a log command, sent as a oneof.
     """
 
