--- a/bench/crashes/nodes.py
+++ b/bench/crashes/nodes.py
@@ -10,7 +10,7 @@
 from greengagemoor.feed.hub import Hub
 from greengagemoor.feed.timing import Timing
 from greengagemoor.forward import messages as m
-from greengagemoor.forward.entrydecider import EntryDecider
+from greengagemoor.forward.entry_decider import EntryDecider
 from greengagemoor.forward.policy import Policy
 
 ONE_WAY_S = 0.001
--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -20,7 +20,7 @@
 
 from bench.gather_model import SHEETS
 from bench.gathers import Run
-from greengagemoor.forward import choosing, sending, timing
+from greengagemoor.forward import selection, sending, timing
 from greengagemoor.registry import Registry
 
 if TYPE_CHECKING:
@@ -64,27 +64,27 @@
 
 @mechanisms.register("slowness")
 def _slowness() -> Overrides:
-    return {}, [(choosing, "RELAX_S", VERY_SHORT_S)]
+    return {}, [(selection, "DECAY_S", VERY_SHORT_S)]
 
 
 @mechanisms.register("rare-answers-count-more")
 def _weight_by_interval() -> Overrides:
-    return {}, [(timing, "MEMORY_S", VERY_LONG_S)]
+    return {}, [(timing, "SMOOTHING_S", VERY_LONG_S)]
 
 
 @mechanisms.register("pauses-seen")
 def _pauses_seen() -> Overrides:
-    return {}, [(choosing, "LATE_FACTOR", VERY_LONG_S)]
+    return {}, [(selection, "LATE_FACTOR", VERY_LONG_S)]
 
 
 @mechanisms.register("own-data-centre-first")
 def _own_data_centre() -> Overrides:
-    return {}, [(choosing, "OTHER_DATA_CENTRE", 1.0)]
+    return {}, [(selection, "OTHER_DATA_CENTRE_FACTOR", 1.0)]
 
 
 @mechanisms.register("spread-of-costs")
 def _spread_of_costs() -> Overrides:
-    return {}, [(choosing, "NOISE", 0.0)]
+    return {}, [(selection, "COST_JITTER", 0.0)]
 
 
 @mechanisms.register("waiting-for-a-place")
@@ -92,7 +92,7 @@
     def give_up(_, leg) -> None:
         leg.give_up()
 
-    return {}, [(sending, "wait_for_place", give_up)]
+    return {}, [(sending, "enqueue", give_up)]
 
 
 @contextmanager
--- a/bench/gathers.py
+++ b/bench/gathers.py
@@ -232,7 +232,7 @@
             self._schedule(sent_at, self._report_delay, index, msg.due_at)
 
     def _report_delay(self, now: float, index: int, due_at: float) -> None:
-        self._step(now, index, [m.AnswerLeft(now - due_at)])
+        self._step(now, index, [m.AnswerWritten(now - due_at)])
 
     def _collect_slow_report(
         self, now: float, index: int, key: SearcherKey
--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -446,7 +446,7 @@
     Mutant(
         "answers leave in time",
         "forward/arrivals.py",
-        "left -= tables.leaving.margin_s(route.objective_s)",
+        "left -= tables.answer_delay.margin_s(route.objective_s)",
         "pass",
         ("tests/test_forward/test_load.py",),
     ),
@@ -480,7 +480,7 @@
     ),
     Mutant(
         "ends: an answer clears",
-        "forward/ended.py",
+        "forward/attempt_end.py",
         "if tables.suspects.changes and is_good(msg.answer):",
         "if False:",
         (FORWARD + "test_crashing_requests.py::TestInnocent",),
@@ -488,9 +488,10 @@
     Mutant(
         "ends: repeats wait for an answer",
         "forward/completion.py",
-        "elif request.is_unproved and not (leg.attempts or leg.waiting):",
+        "elif request.needs_first_answer and not (leg.attempts or "
+        "leg.waiting):",
         "elif False:",
-        (FORWARD + "test_proof.py",),
+        (FORWARD + "test_retry_deferral.py",),
     ),
     Mutant(
         "ends: entries know before they serve",
@@ -530,7 +531,7 @@
     Mutant(
         "trials: unused grants go back",
         "forward/trials.py",
-        "    tables.out.append(TrialUnused(trial.wanted))\n",
+        "    tables.out.append(ReleaseTrialClaim(trial.last_claim))\n",
         "",
         (FORWARD + "test_trials.py",),
     ),
--- a/greengagemoor/forward/leaving.py
+++ b/greengagemoor/forward/answer_delay.py
@@ -27,7 +27,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class LeavingDelay:
+class AnswerDelay:
     """Estimates how long before its time an answer must be completed.
 
     An answer that waits for its last shards is completed when it is due. The
--- a/greengagemoor/forward/arrivals.py
+++ b/greengagemoor/forward/arrivals.py
@@ -6,12 +6,12 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor.forward import (
-    choosing,
     completion,
     evidence,
-    starting,
+    first_sends,
+    selection,
+    trial_table,
     trials,
-    trialtable,
 )
 from greengagemoor.forward.mergers import RECORD_BYTES
 from greengagemoor.forward.messages import Ending
@@ -33,14 +33,14 @@
 reaches the caller in time."""
 
 
-def take(tables: Tables, msg: Arrived) -> None:
+def accept(tables: Tables, msg: Arrived) -> None:
     """Rejects a request at once, holds it, or sends it."""
     request = _create_request(tables, msg)
     tables.requests[msg.token] = request
-    if tables.now >= request.ends_at:
+    if tables.now >= request.deadline:
         completion.finish(tables, request, Ending.NOT_RUN_DEADLINE)
         return
-    if trialtable.is_refused(tables, request.fingerprint):
+    if trial_table.is_refused(tables, request.fingerprint):
         completion.finish(tables, request, Ending.NOT_RUN_QUARANTINED)
         return
     if not _can_serve(tables, request):
@@ -49,7 +49,7 @@
     if evidence.is_suspect(tables, request.fingerprint):
         trials.hold(tables, request)
     else:
-        starting.start(tables, request)
+        first_sends.start(tables, request)
     if not request.done:
         _set_timers(tables, request)
 
@@ -61,15 +61,18 @@
     waited = 0.0
     overhead = _caller_overhead_s(tables, msg)
     ends_at = now + route.time_limit_s - END_MARGIN_S
-    if msg.patience_s is not None:
+    if msg.remaining_wait_s is not None:
         # A caller that retries sends a shorter deadline than others on this
         # route; the difference is the time that it has already waited.
-        longest = max(tables.patience.get(route.name, 0.0), msg.patience_s)
-        tables.patience[route.name] = longest
-        waited = longest - msg.patience_s
-        ends_at = min(ends_at, now + msg.patience_s - overhead / 2)
+        longest = max(
+            tables.max_remaining_wait_s.get(route.name, 0.0),
+            msg.remaining_wait_s,
+        )
+        tables.max_remaining_wait_s[route.name] = longest
+        waited = longest - msg.remaining_wait_s
+        ends_at = min(ends_at, now + msg.remaining_wait_s - overhead / 2)
     left = route.objective_s - waited - overhead
-    left -= tables.leaving.margin_s(route.objective_s)
+    left -= tables.answer_delay.margin_s(route.objective_s)
     if left <= 0:
         # The objective is missed already: a complete answer is worth waiting
         # for one more objective.
@@ -79,8 +82,8 @@
         request_id=msg.request_id,
         route=route,
         arrived_at=now,
-        give_at=min(ends_at, now + left),
-        ends_at=ends_at,
+        soft_deadline=min(ends_at, now + left),
+        deadline=ends_at,
         fingerprint=msg.fingerprint,
     )
     request.legs = [Leg(request, name) for name in _services(tables, route)]
@@ -94,8 +97,10 @@
     the request is read.
     """
     policy = tables.policy
-    network = policy.caller_way_s if msg.way_s is None else msg.way_s
-    limit = policy.most_way_share * msg.route.objective_s
+    network = (
+        policy.caller_network_s if msg.network_s is None else msg.network_s
+    )
+    limit = policy.max_network_share * msg.route.objective_s
     network = min(network + _transmission_s(tables, msg.route), limit)
     return network + policy.caller_read_s
 
@@ -126,22 +131,22 @@
     of the other shards would be wasted.
     """
     usable = sum(
-        choosing.has_usable(tables, leg.service) for leg in request.legs
+        selection.has_usable(tables, leg.service) for leg in request.legs
     )
     if request.route.gather is None:
         return usable > 0
-    return completion.is_enough(request, usable)
+    return completion.is_coverage_reached(request, usable)
 
 
 def _set_timers(tables: Tables, request: Request) -> None:
-    check = partial(completion.look, tables, request)
+    check = partial(completion.check, tables, request)
     if request.route.gather is not None:
-        tables.set_timer(request.give_at, check)
+        tables.set_timer(request.soft_deadline, check)
     else:
-        max_wait = tables.policy.busy_share * request.route.objective_s
+        max_wait = tables.policy.max_wait_share * request.route.objective_s
         at = tables.now + max_wait
         tables.set_timer(at, partial(_reject_unsent, tables, request))
-    tables.set_timer(request.ends_at, partial(_end_at_limit, tables, request))
+    tables.set_timer(request.deadline, partial(_end_at_limit, tables, request))
 
 
 def _reject_unsent(tables: Tables, request: Request) -> None:
@@ -157,7 +162,7 @@
     if request.done:
         return
     is_gather = request.route.gather is not None
-    if is_gather and completion.is_enough(request, request.answered):
+    if is_gather and completion.is_coverage_reached(request, request.answered):
         completion.finish(tables, request, Ending.PARTIAL)
     elif request.sends:
         completion.finish(tables, request, Ending.NO_ANSWER)
--- a/greengagemoor/forward/ended.py
+++ b/greengagemoor/forward/attempt_end.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from greengagemoor.forward import choosing, evidence, proof, sending
+from greengagemoor.forward import evidence, retry_deferral, selection, sending
 from greengagemoor.forward.messages import Outcome, Step, StepKind
 
 SIZE_SMOOTHING = 0.05
@@ -31,7 +31,7 @@
     leg.attempts.remove(attempt)
     _add_step(tables, attempt, _end_text(msg))
     if msg.answer is not None and msg.answer.load is not None:
-        choosing.note_load(tables, searcher, msg.answer.load)
+        selection.note_load(tables, searcher, msg.answer.load)
     _update_searcher(tables, attempt, msg)
     _update_evidence(tables, attempt, msg)
     if msg.outcome in (
@@ -44,7 +44,7 @@
         _take_answer(tables, attempt, msg.answer)
     elif msg.outcome is Outcome.BROKEN:
         leg.broken = True
-    sending.serve_waiting(tables, leg.service)
+    sending.send_queued(tables, leg.service)
     return None if leg.request.done else leg
 
 
@@ -75,15 +75,15 @@
 ) -> None:
     """Updates the evidence on whether the request crashes searchers."""
     if msg.outcome is Outcome.ANSWERED:
-        if tables.possible_ends:
-            evidence.note_alive(tables, attempt)
+        if tables.possible_crashes:
+            evidence.discard_possible_crash(tables, attempt)
         if tables.suspects.changes and is_good(msg.answer):
             fingerprint = attempt.leg.request.fingerprint
-            evidence.note_good_answer(tables, fingerprint)
+            evidence.clear_suspect(tables, fingerprint)
         return
-    proof.note_end(attempt, msg)
+    retry_deferral.record_end(attempt, msg)
     if msg.outcome is Outcome.BROKEN and not msg.began:
-        evidence.note_break(tables, attempt)
+        evidence.record_broken_send(tables, attempt)
 
 
 def _take_answer(
@@ -94,7 +94,7 @@
     if not is_good(answer):
         leg.failure = answer
     elif leg.answer is None:
-        leg.take(answer, attempt.searcher.searcher_id, tables.now)
+        leg.accept_answer(answer, attempt.searcher.searcher_id, tables.now)
 
 
 def _update_size(tables: Tables, leg: Leg, answer: SearcherAnswer) -> None:
@@ -125,14 +125,14 @@
         # Another process has the address now; this one has ended.
         searcher.avoid_until = float("inf")
     elif msg.outcome is Outcome.NOT_SENT:
-        choosing.note_failure(tables, searcher, unreachable=True)
+        selection.note_failure(tables, searcher, unreachable=True)
     elif msg.outcome is Outcome.BROKEN:
         if not msg.stale:
-            choosing.note_failure(tables, searcher, unreachable=False)
+            selection.note_failure(tables, searcher, unreachable=False)
     elif msg.outcome is Outcome.NOT_RUN:
-        choosing.note_refusal(tables, searcher)
+        selection.note_refusal(tables, searcher)
     elif not is_good(msg.answer):
-        choosing.note_failure(tables, searcher, unreachable=False)
+        selection.note_failure(tables, searcher, unreachable=False)
     else:
         note_time(tables, attempt)
 
@@ -142,5 +142,5 @@
     times = tables.times_of(attempt.leg.request.route)
     elapsed = tables.now - attempt.sent_at
     ratio = elapsed / max(times.median, 0.0005)
-    choosing.note_answer(tables, attempt.searcher, ratio)
+    selection.note_answer(tables, attempt.searcher, ratio)
     times.note(elapsed)
--- a/greengagemoor/forward/claiming.py
+++ b/greengagemoor/forward/claiming.py
@@ -9,9 +9,9 @@
 from greengagemoor.control.commands import Claim, RecordOutcome
 from greengagemoor.control.messages import OpKind
 from greengagemoor.forward.messages import (
-    TrialDecided,
-    TrialUnused,
-    TrialWanted,
+    ClaimTrial,
+    ReleaseTrialClaim,
+    TrialVerdict,
 )
 
 if TYPE_CHECKING:
@@ -54,11 +54,11 @@
         Args:
             now: seconds.
             controls: control instances with a working link.
-            msgs: ``TrialWanted``, ``TrialUnused``, and ``Received`` answers
-                to operations.
+            msgs: ``ClaimTrial``, ``ReleaseTrialClaim``, and ``Received``
+                answers to operations.
 
         Returns:
-            ``Send`` and ``TrialDecided``.
+            ``Send`` and ``TrialVerdict``.
         """
         self._client.targets = list(controls)
         operations = [self._operation(now, msg) for msg in msgs]
@@ -77,13 +77,13 @@
         return self._client.is_idle
 
     def _operation(self, now: float, msg: object) -> object:
-        if isinstance(msg, TrialWanted):
+        if isinstance(msg, ClaimTrial):
             return self._claim(now, msg)
-        if isinstance(msg, TrialUnused):
+        if isinstance(msg, ReleaseTrialClaim):
             return self._release(now, msg.wanted)
         return msg
 
-    def _claim(self, now: float, msg: TrialWanted) -> Ask:
+    def _claim(self, now: float, msg: ClaimTrial) -> Ask:
         command = Claim(
             caller=TRIALS_CALLER,
             request_id=_trial_id(msg),
@@ -94,7 +94,7 @@
         )
         return Ask(msg, OpKind.CLAIM, now + CLAIM_TIMEOUT_S, command)
 
-    def _release(self, now: float, msg: TrialWanted) -> Ask:
+    def _release(self, now: float, msg: ClaimTrial) -> Ask:
         command = RecordOutcome(
             caller=TRIALS_CALLER,
             request_id=_trial_id(msg),
@@ -106,7 +106,7 @@
         return Ask(None, OpKind.OUTCOME, now + RELEASE_TIMEOUT_S, command)
 
 
-def _trial_id(msg: TrialWanted) -> str:
+def _trial_id(msg: ClaimTrial) -> str:
     return f"{msg.fingerprint.hex()}/{msg.epoch}/{msg.number}"
 
 
@@ -114,8 +114,8 @@
     return done.kind is OpKind.CLAIM
 
 
-def _decided(done: Done) -> TrialDecided:
+def _decided(done: Done) -> TrialVerdict:
     verdict = ClaimVerdict.UNAVAILABLE
     if done.reply.code == Code.ACCEPTED:
         verdict = ClaimVerdict(done.reply.verdict)
-    return TrialDecided(done.token, verdict)
+    return TrialVerdict(done.token, verdict)
--- a/greengagemoor/forward/coldstart.py
+++ b/greengagemoor/forward/cold_start.py
@@ -22,7 +22,7 @@
 higher: two sends with this gap never arrive within one second."""
 
 
-def may_use(tables: Tables, row: Searcher) -> bool:
+def is_selected(tables: Tables, row: Searcher) -> bool:
     """Whether this entry may use a searcher; always if it isn't cold."""
     rate = _rate(tables, row)
     if rate is None or rate >= 1.0:
@@ -30,7 +30,7 @@
     return _hash(tables, row) < rate * SEND_GAP_S
 
 
-def has_turn(tables: Tables, row: Searcher) -> bool:
+def is_within_rate(tables: Tables, row: Searcher) -> bool:
     """Whether the rate limit allows a send to the searcher now."""
     rate = _rate(tables, row)
     if rate is None:
@@ -49,7 +49,7 @@
     rules = tables.services.get(row.service)
     if rules is None or not rules.cold_per_s:
         return None
-    return USED_SHARE * rules.cold_per_s / tables.sharers
+    return USED_SHARE * rules.cold_per_s / tables.sharing_entries
 
 
 def _hash(tables: Tables, row: Searcher) -> float:
--- a/greengagemoor/forward/completion.py
+++ b/greengagemoor/forward/completion.py
@@ -5,7 +5,13 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from greengagemoor.forward import aggregating, ended, parts, proof, sending
+from greengagemoor.forward import (
+    attempt_end,
+    part_reports,
+    parts,
+    retry_deferral,
+    sending,
+)
 from greengagemoor.forward.mergers import GREATEST_RECORDS, mergers
 from greengagemoor.forward.messages import (
     Ending,
@@ -34,7 +40,7 @@
 as long as the longest pause of one, a queue as long as a few requests."""
 
 
-def look(tables: Tables, request: Request) -> None:
+def check(tables: Tables, request: Request) -> None:
     """Ends a request if its outcome is certain or it is due."""
     if request.done:
         return
@@ -70,7 +76,8 @@
 
 def _check_gather(tables: Tables, request: Request) -> None:
     if not request.is_open or (
-        tables.now >= request.give_at and is_enough(request, request.answered)
+        tables.now >= request.soft_deadline
+        and is_coverage_reached(request, request.answered)
     ):
         _finish_gather(tables, request)
     elif _is_coverage_impossible(request):
@@ -79,12 +86,12 @@
 
 def _check_part(tables: Tables, request: Request) -> None:
     if request.is_open:
-        aggregating.tell(tables, request)
+        part_reports.report_results(tables, request)
     else:
         finish(tables, request, Ending.PARTIAL)
 
 
-def is_enough(request: Request, answered: int) -> bool:
+def is_coverage_reached(request: Request, answered: int) -> bool:
     """Whether that many answered shards reach the required coverage."""
     required = request.route.gather.least_coverage * len(request.legs)
     return answered > 0 and answered >= required - EPSILON
@@ -92,11 +99,11 @@
 
 def _is_coverage_impossible(request: Request) -> bool:
     possible = len(request.legs) - request.given_up
-    return not is_enough(request, possible)
+    return not is_coverage_reached(request, possible)
 
 
 def _finish_gather(tables: Tables, request: Request) -> None:
-    if not is_enough(request, request.answered):
+    if not is_coverage_reached(request, request.answered):
         ran = any(leg.runs > 0 or leg.broken for leg in request.legs)
         ending = Ending.BELOW_COVERAGE if ran else Ending.NOT_RUN_REFUSED
         finish(tables, request, ending)
@@ -116,7 +123,7 @@
     answered = ending in (Ending.ANSWERED, Ending.PARTIAL)
     parts.drop_all(tables, request, answered=answered)
     if request.origin is not None:
-        aggregating.close(tables, request, wanted=not request.is_dropped)
+        part_reports.close(tables, request, wanted=not request.is_dropped)
     elif ending is not Ending.CALLER_GONE:
         tables.out.append(_respond(tables, request, ending))
     linger_s = _linger_s(tables, request, ending)
@@ -144,7 +151,7 @@
 
 def _cancel_lingering(tables: Tables, attempt) -> None:
     if attempt.attempt_id in tables.attempts:
-        ended.note_time(tables, attempt)
+        attempt_end.note_time(tables, attempt)
         sending.cancel(tables, attempt)
 
 
@@ -163,7 +170,7 @@
         route=request.route,
         ending=ending,
         elapsed_s=tables.now - request.arrived_at,
-        sends=request.sends + request.part_sends,
+        sends=request.sends + request.helper_sends,
         answer=answer,
         merged=merged,
         retry_after_s=RETRY_AFTER_S.get(ending),
@@ -215,12 +222,12 @@
     """Retries a leg after its send ended, or gives it up."""
     request = leg.request
     if leg.answer is not None:
-        proof.release(tables, request)
-    elif request.is_unproved and not (leg.attempts or leg.waiting):
+        retry_deferral.send_deferred(tables, request)
+    elif request.needs_first_answer and not (leg.attempts or leg.waiting):
         # A closed idle connection is no sign that the request crashed its
         # searcher.
-        if not (stale and sending.send_afresh(tables, leg)):
-            proof.wait(tables, leg, outcome)
-    elif not sending.repeat(tables, leg, outcome, stale=stale):
+        if not (stale and sending.resend_after_stale(tables, leg)):
+            retry_deferral.defer_retry(tables, leg, outcome)
+    elif not sending.retry(tables, leg, outcome, stale=stale):
         leg.give_up()
-    look(tables, request)
+    check(tables, request)
--- a/greengagemoor/forward/decider.py
+++ b/greengagemoor/forward/decider.py
@@ -13,24 +13,24 @@
 )
 from greengagemoor.forward import (
     arrivals,
+    attempt_end,
     completion,
-    delegating,
-    ended,
+    delegation,
     evidence,
-    partintake,
+    part_receiver,
     searchers,
     trials,
 )
 from greengagemoor.forward.messages import (
-    AnswerLeft,
+    AnswerWritten,
     Arrived,
     AttemptEnded,
     CallerGone,
     Ending,
     ProbeEnded,
-    TrialDecided,
+    TrialVerdict,
 )
-from greengagemoor.forward.partmessages import (
+from greengagemoor.forward.part_messages import (
     AskPart,
     FromPeer,
     PartAnswered,
@@ -76,21 +76,21 @@
         Args:
             now: seconds of a monotonic clock.
             msgs: ``Arrived``, ``CallerGone``, ``AttemptEnded``,
-                ``AnswerLeft``, ``SearcherLearnt``, ``SlowSearchers``,
+                ``AnswerWritten``, ``SearcherLearnt``, ``SlowSearchers``,
                 ``EvacuationsLearnt``, ``ProbeEnded``, ``SuspectsLearnt``,
-                ``TrialDecided``, ``FromPeer``, ``PeerUp``, ``PeerDown``.
+                ``TrialVerdict``, ``FromPeer``, ``PeerUp``, ``PeerDown``.
 
         Returns:
             ``StartAttempt``, ``CancelAttempt``, ``CloseIdle``, ``Respond``,
             ``SlowSeen``, ``ProbeSearcher``, ``SuspectsSeen``,
-            ``TrialWanted``, ``TrialUnused``, ``StandingChanged``, ``ToPeer``,
-            ``PartOpened`` and ``PartClosed``.
+            ``ClaimTrial``, ``ReleaseTrialClaim``, ``StandingChanged``,
+            ``ToPeer``, ``PartOpened`` and ``PartClosed``.
         """
         tables = self.tables
         tables.now = tables.due_at = now
         tables.started_at = min(tables.started_at, now)
         tables.out = []
-        for msg in partintake.without_dropped(msgs):
+        for msg in part_receiver.filter_dropped(msgs):
             self._handle(msg)
         tables.run_timers()
         while tables.to_review:
@@ -116,7 +116,7 @@
             return
         self.tables.entries = number
         searchers.set_caps(self.tables)
-        slack = self.tables.policy.retry_slack / self.tables.sharers
+        slack = self.tables.policy.retry_slack / self.tables.sharing_entries
         for budget in self.tables.budgets.values():
             budget.slack = slack
 
@@ -134,7 +134,7 @@
             "least_budget_left": min(left, default=0.0),
             **tables.suspects.counts(),
             "requests_held": sum(len(t.held) for t in tables.trials.values()),
-            "leaving_delay_seconds": tables.leaving.usual_s,
+            "leaving_delay_seconds": tables.answer_delay.usual_s,
             "searchers_evacuated": self._count_evacuated(),
             **{f"searchers_{name}": n for name, n in states.items()},
         }
@@ -153,50 +153,52 @@
         if isinstance(msg, AttemptEnded):
             self._handle_ended(msg)
         elif isinstance(msg, Arrived):
-            arrivals.take(self.tables, msg)
+            arrivals.accept(self.tables, msg)
         elif isinstance(msg, CallerGone):
             request = self.tables.requests.get(msg.token)
             if request is not None:
                 completion.finish(self.tables, request, Ending.CALLER_GONE)
-        elif isinstance(msg, AnswerLeft):
-            self.tables.leaving.note(msg.delay_s)
+        elif isinstance(msg, AnswerWritten):
+            self.tables.answer_delay.note(msg.delay_s)
         elif isinstance(msg, SearcherLearnt):
-            for ended_msg in searchers.take(self.tables, msg.row):
+            for ended_msg in searchers.apply_row(self.tables, msg.row):
                 self._handle_ended(ended_msg)
         elif isinstance(msg, SlowSearchers):
-            searchers.take_slow(self.tables, msg)
+            searchers.mark_slow(self.tables, msg)
         elif isinstance(msg, EvacuationsLearnt):
-            searchers.take_evacuations(self.tables, msg)
+            searchers.apply_evacuations(self.tables, msg)
         elif isinstance(msg, ProbeEnded):
-            evidence.take_probed(self.tables, msg.searcher, refused=msg.refused)
+            evidence.handle_probe_result(
+                self.tables, msg.searcher, refused=msg.refused
+            )
         elif isinstance(msg, SuspectsLearnt):
             for row in msg.rows:
-                evidence.take_told(self.tables, row)
-        elif isinstance(msg, TrialDecided):
-            trials.take_decided(self.tables, msg)
+                evidence.merge_received_row(self.tables, row)
+        elif isinstance(msg, TrialVerdict):
+            trials.apply_verdict(self.tables, msg)
         elif isinstance(msg, FromPeer):
             self._handle_from_peer(msg.name, msg.payload)
         elif isinstance(msg, PeerUp):
-            delegating.take_up(self.tables, msg.name)
+            delegation.add_helper(self.tables, msg.name)
         elif isinstance(msg, PeerDown):
-            delegating.take_down(self.tables, msg.name)
-            partintake.take_down(self.tables, msg.name)
+            delegation.remove_helper(self.tables, msg.name)
+            part_receiver.end_parts_of(self.tables, msg.name)
 
     def _handle_from_peer(self, name: str, msg: object) -> None:
         if isinstance(msg, AskPart):
-            partintake.take_ask(self.tables, name, msg)
+            part_receiver.accept_part(self.tables, name, msg)
         elif isinstance(msg, PartConfirmed):
-            partintake.take_confirmed(self.tables, name, msg)
+            part_receiver.allow_second_sends(self.tables, name, msg)
         elif isinstance(msg, PartDropped):
-            partintake.take_dropped(self.tables, name, msg)
+            part_receiver.end_dropped_part(self.tables, name, msg)
         elif isinstance(msg, PartTaken):
-            delegating.take_taken(self.tables, name, msg)
+            delegation.confirm_part(self.tables, name, msg)
         elif isinstance(msg, PartAnswered):
-            delegating.take_answered(self.tables, name, msg)
+            delegation.receive_answers(self.tables, name, msg)
 
     def _handle_ended(self, msg: AttemptEnded) -> None:
         attempt = self.tables.attempts.get(msg.attempt_id)
-        leg = ended.take_ended(self.tables, msg)
+        leg = attempt_end.take_ended(self.tables, msg)
         if attempt is not None and attempt.leg.request.is_trial:
             trials.take_end(self.tables, attempt, msg)
         elif leg is not None:
--- a/greengagemoor/forward/delegating.py
+++ b/greengagemoor/forward/delegation.py
@@ -12,9 +12,9 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from greengagemoor.forward import choosing, completion, parts, sending
+from greengagemoor.forward import completion, parts, selection, sending
 from greengagemoor.forward.messages import SearcherAnswer, Step, StepKind
-from greengagemoor.forward.partmessages import (
+from greengagemoor.forward.part_messages import (
     AskPart,
     PartAnswered,
     PartConfirmed,
@@ -51,7 +51,7 @@
 REFUSED_AVOID_S = 0.5
 
 
-def hand_out(tables: Tables, request: Request) -> None:
+def delegate(tables: Tables, request: Request) -> None:
     """Delegates most of a query's shards to helpers, where that saves time.
 
     Delegated legs count as sent once, because they may have run.
@@ -122,8 +122,8 @@
         attempts=route.attempts,
         rank=route.rank,
         objective_s=route.objective_s,
-        give_in_s=request.give_at - tables.now - RETURN_MARGIN_S,
-        end_in_s=request.ends_at - tables.now,
+        give_in_s=request.soft_deadline - tables.now - RETURN_MARGIN_S,
+        end_in_s=request.deadline - tables.now,
         fingerprint=request.fingerprint,
     )
     tables.out.append(ToPeer(helper.name, msg, request.token))
@@ -146,7 +146,7 @@
     already, the helper is more likely overloaded than gone, and this entry
     keeps waiting for its answer.
     """
-    if part.taken or part.part_id not in tables.parts:
+    if part.is_acknowledged or part.part_id not in tables.parts:
         return
     helper = part.helper
     pause = FIRST_AVOID_S * 2 ** min(helper.failures, 6)
@@ -169,12 +169,12 @@
     return budget.share_left(tables.now) >= MIN_BUDGET_SHARE
 
 
-def take_up(tables: Tables, name: str) -> None:
+def add_helper(tables: Tables, name: str) -> None:
     """Adds a helper whose link has come up."""
     tables.helpers[name] = Helper(name)
 
 
-def take_down(tables: Tables, name: str) -> None:
+def remove_helper(tables: Tables, name: str) -> None:
     """Removes a helper whose link is down, and queries its parts' shards."""
     if tables.helpers.pop(name, None) is None:
         return
@@ -182,26 +182,26 @@
     for part in lost:
         parts.close(tables, part)
         # A helper sends each shard of an unconfirmed part at most once.
-        runs = part.request.route.attempts if part.taken else 1
+        runs = part.request.route.attempts if part.is_acknowledged else 1
         _query_locally(tables, part, dict.fromkeys(part.legs, runs))
 
 
-def take_taken(tables: Tables, name: str, msg: PartTaken) -> None:
+def confirm_part(tables: Tables, name: str, msg: PartTaken) -> None:
     """Confirms a part that its helper has acknowledged."""
     part = tables.parts.get(msg.part_id)
     if part is not None and part.helper.name == name:
-        part.taken = True
+        part.is_acknowledged = True
         part.helper.failures = 0
         confirmation = PartConfirmed(part.part_id)
         tables.out.append(ToPeer(name, confirmation))
 
 
-def take_answered(tables: Tables, name: str, msg: PartAnswered) -> None:
+def receive_answers(tables: Tables, name: str, msg: PartAnswered) -> None:
     """Receives the answers of some shards of a part."""
     part = tables.parts.get(msg.part_id)
     if part is None or part.helper.name != name:
         return
-    part.taken = True
+    part.is_acknowledged = True
     _accept_answers(tables, part, msg)
     if msg.over:
         _finish_part(tables, part, msg)
@@ -220,13 +220,13 @@
     name, body = part.helper.name, msg.body
     for leg, signature in zip(legs, msg.signatures, strict=True):
         answer = SearcherAnswer(200, signature, (), body)
-        leg.take(answer, name, tables.now)
+        leg.accept_answer(answer, name, tables.now)
         body = b""
 
 
 def _finish_part(tables: Tables, part: Part, msg: PartAnswered) -> None:
     parts.close(tables, part)
-    part.request.part_sends += max(0, msg.sends - len(part.legs))
+    part.request.helper_sends += max(0, msg.sends - len(part.legs))
     helper = part.helper
     if msg.refused:
         helper.avoid_until = tables.now + REFUSED_AVOID_S
@@ -255,14 +255,14 @@
         leg.helper = ""
         leg.runs = leg.sends = number
         _send(tables, leg)
-    completion.look(tables, request)
+    completion.check(tables, request)
 
 
 def _send(tables: Tables, leg: Leg) -> None:
     if not _may_send(tables, leg):
         leg.give_up()
     elif not sending.send(tables, leg):
-        sending.wait_for_place(tables, leg)
+        sending.enqueue(tables, leg)
 
 
 def _may_send(tables: Tables, leg: Leg) -> bool:
@@ -270,9 +270,9 @@
 
     If the request has not run there, it counts as a first send.
     """
-    if leg.request.is_unproved or not sending.may_send_more(tables, leg):
+    if leg.request.needs_first_answer or not sending.may_send_more(tables, leg):
         return False
-    if not choosing.has_usable(tables, leg.service):
+    if not selection.has_usable(tables, leg.service):
         return False
     budget = tables.budget_of(leg.service)
     if leg.runs:
--- a/greengagemoor/forward/entrydecider.py
+++ b/greengagemoor/forward/entry_decider.py
@@ -10,9 +10,9 @@
 from greengagemoor.forward.claiming import TrialClaims
 from greengagemoor.forward.decider import ForwardDecider
 from greengagemoor.forward.messages import (
-    TrialDecided,
-    TrialUnused,
-    TrialWanted,
+    ClaimTrial,
+    ReleaseTrialClaim,
+    TrialVerdict,
 )
 
 if TYPE_CHECKING:
@@ -27,9 +27,9 @@
     feed.SlowSearchers,
     feed.SuspectsLearnt,
     feed.EvacuationsLearnt,
-    TrialDecided,
+    TrialVerdict,
 )
-_FOR_CLAIMS = (TrialWanted, TrialUnused)
+_FOR_CLAIMS = (ClaimTrial, ReleaseTrialClaim)
 _OBSERVATIONS = (feed.SlowSeen, feed.SuspectsSeen)
 _INTERNAL = _FOR_CLAIMS + _OBSERVATIONS
 
@@ -75,7 +75,7 @@
             queue.append(msg)
         out = self._step_view(now, feed_msgs)
         out += self._step_claims(now, filter(_is_reply, feed_msgs))
-        self.forward.tables.takes_parts = self.view.me.ready
+        self.forward.tables.accepts_parts = self.view.me.ready
         updates = [msg for msg in out if isinstance(msg, _FOR_FORWARD)]
         return out + self._step_forward(now, updates + forward_msgs)
 
--- a/greengagemoor/forward/evidence.py
+++ b/greengagemoor/forward/evidence.py
@@ -33,7 +33,7 @@
 CONFIRM_WITHIN_S = 5.0
 """Seconds within which the end of a searcher must be confirmed; a silent one is
 reported as lost after three missed announcements, about three seconds."""
-TOGETHER_S = 0.25
+COMMON_CAUSE_S = 0.25
 """Seconds within which searchers of one rack or machine end together."""
 OTHER_SUSPECTS_S = 4.0
 """Seconds after a request became suspect during which it may still crash
@@ -44,7 +44,7 @@
 
 
 @attrs.define(eq=False)
-class PossibleEnd:
+class PossibleCrash:
     """A searcher whose connections broke, and that may have ended.
 
     Attributes:
@@ -59,18 +59,18 @@
     ended: bool = False
 
 
-def note_break(tables: Tables, attempt: Attempt) -> None:
+def record_broken_send(tables: Tables, attempt: Attempt) -> None:
     """Records a send that broke before any byte of an answer."""
     request = attempt.leg.request
     if not request.fingerprint:
         return
     searcher = attempt.searcher
     key = searcher.key
-    end = tables.possible_ends.get(key)
+    end = tables.possible_crashes.get(key)
     if end is None:
-        end = PossibleEnd(key, tables.now)
-        tables.possible_ends[key] = end
-        forget = partial(tables.possible_ends.pop, key, None)
+        end = PossibleCrash(key, tables.now)
+        tables.possible_crashes[key] = end
+        forget = partial(tables.possible_crashes.pop, key, None)
         tables.set_timer(tables.now + CONFIRM_WITHIN_S, forget)
         if tables.searchers.get(searcher.searcher_id) is searcher:
             tables.out.append(ProbeSearcher(key, searcher.address))
@@ -81,40 +81,42 @@
         _count_end(tables, request.fingerprint, end)
 
 
-def take_probed(tables: Tables, key: SearcherKey, *, refused: bool) -> None:
+def handle_probe_result(
+    tables: Tables, key: SearcherKey, *, refused: bool
+) -> None:
     """Handles the result of a probe of a searcher's address.
 
     If something listens there, the searcher may have restarted already; the
     control instances report that.
     """
     if refused:
-        note_ended(tables, key)
+        record_crash(tables, key)
 
 
-def note_ended(tables: Tables, key: SearcherKey) -> None:
+def record_crash(tables: Tables, key: SearcherKey) -> None:
     """Confirms the end of a searcher where a send broke."""
-    end = tables.possible_ends.get(key)
+    end = tables.possible_crashes.get(key)
     if end is not None:
         _confirm(tables, end)
 
 
-def note_alive(tables: Tables, attempt: Attempt) -> None:
+def discard_possible_crash(tables: Tables, attempt: Attempt) -> None:
     """Discards a possible end if the searcher answers a send made after it."""
-    end = tables.possible_ends.get(attempt.searcher.key)
+    end = tables.possible_crashes.get(attempt.searcher.key)
     if end is not None and not end.ended and attempt.sent_at > end.at:
-        del tables.possible_ends[attempt.searcher.key]
+        del tables.possible_crashes[attempt.searcher.key]
 
 
-def _confirm(tables: Tables, end: PossibleEnd) -> None:
+def _confirm(tables: Tables, end: PossibleCrash) -> None:
     if end.ended:
         return
     end.ended = True
-    tables.recent_ends.append(end)
+    tables.recent_crashes.append(end)
     for fingerprint in end.runs:
         _count_end(tables, fingerprint, end)
 
 
-def _count_end(tables: Tables, fingerprint: bytes, end: PossibleEnd) -> None:
+def _count_end(tables: Tables, fingerprint: bytes, end: PossibleCrash) -> None:
     """Counts the end of a searcher against a request."""
     known = tables.suspects.get(fingerprint)
     row = Suspect(
@@ -127,7 +129,7 @@
 
 
 def note_failed_trial(
-    tables: Tables, fingerprint: bytes, end: PossibleEnd
+    tables: Tables, fingerprint: bytes, end: PossibleCrash
 ) -> None:
     """Records that the searcher of a request's trial has ended."""
     known = tables.suspects.get(fingerprint)
@@ -137,7 +139,7 @@
         _join_and_report(tables, row, tables.now)
 
 
-def note_good_answer(tables: Tables, fingerprint: bytes) -> None:
+def clear_suspect(tables: Tables, fingerprint: bytes) -> None:
     """Clears a suspected request that a searcher has answered."""
     known = tables.suspects.get(fingerprint)
     if known is None or not (known.ended or known.failed):
@@ -160,7 +162,7 @@
     tables.set_timer(report_at, partial(_report, tables))
 
 
-def take_told(tables: Tables, row: Suspect) -> None:
+def merge_received_row(tables: Tables, row: Suspect) -> None:
     """Joins a row received from the control instances."""
     if row.fingerprint in tables.unreported:
         # Others have the row too, so an answer must be reported to them.
@@ -192,7 +194,7 @@
 
 
 def _is_only_cause(
-    tables: Tables, fingerprint: bytes, end: PossibleEnd
+    tables: Tables, fingerprint: bytes, end: PossibleCrash
 ) -> bool:
     """Whether a request is the only possible cause of a searcher's end.
 
@@ -201,8 +203,9 @@
     have run there too.
     """
     together = any(
-        abs(other.at - end.at) <= TOGETHER_S and fingerprint not in other.runs
-        for other in tables.recent_ends
+        abs(other.at - end.at) <= COMMON_CAUSE_S
+        and fingerprint not in other.runs
+        for other in tables.recent_crashes
     )
     since = end.at - OTHER_SUSPECTS_S
     others = any(
@@ -212,13 +215,13 @@
     return not (together or others or len(end.runs) > 1)
 
 
-def note_row(tables: Tables, row: SearcherRow) -> None:
+def check_searcher_row(tables: Tables, row: SearcherRow) -> None:
     """Confirms possible ends by a searcher's restart or ended state."""
-    for key in list(tables.possible_ends):
+    for key in list(tables.possible_crashes):
         if key.searcher_id != row.searcher_id:
             continue
         if key.start < row.start or row.state.has_ended:
-            note_ended(tables, key)
+            record_crash(tables, key)
 
 
 def is_suspect(tables: Tables, fingerprint: bytes) -> bool:
--- a/greengagemoor/forward/starting.py
+++ b/greengagemoor/forward/first_sends.py
@@ -5,9 +5,9 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor.forward import (
-    choosing,
     completion,
-    delegating,
+    delegation,
+    selection,
     sending,
 )
 
@@ -21,15 +21,15 @@
     Legs without a free connection are queued; legs without a usable searcher
     are given up, which may end the request.
     """
-    delegating.hand_out(tables, request)
+    delegation.delegate(tables, request)
     for leg in request.legs:
         if leg.sends or not leg.is_open:
             continue
         tables.budget_of(leg.service).note_request(tables.now)
         if sending.send(tables, leg):
             continue
-        if choosing.has_usable(tables, leg.service):
-            sending.wait_for_place(tables, leg)
+        if selection.has_usable(tables, leg.service):
+            sending.enqueue(tables, leg)
         else:
             leg.give_up()
-    completion.look(tables, request)
+    completion.check(tables, request)
--- a/greengagemoor/forward/messages.py
+++ b/greengagemoor/forward/messages.py
@@ -105,18 +105,18 @@
 
     Attributes:
         token: identifies the request until its ``Respond``.
-        patience_s: how long the caller still waits; None if not stated.
+        remaining_wait_s: how long the caller still waits; None if not stated.
         fingerprint: equal for requests with the same content.
-        way_s: network time that the caller's clock includes, from its first
+        network_s: network time that the caller's clock includes, from its first
             packet until it has the answer; None if not known.
     """
 
     token: int
     request_id: str
     route: Route
-    patience_s: float | None
+    remaining_wait_s: float | None
     fingerprint: bytes = b""
-    way_s: float | None = None
+    network_s: float | None = None
 
 
 @values.frozen
@@ -127,7 +127,7 @@
 
 
 @values.frozen
-class AnswerLeft:
+class AnswerWritten:
     """The answer to a gather was written to its caller.
 
     Attributes:
@@ -200,10 +200,10 @@
 
 
 @values.frozen
-class TrialDecided:
+class TrialVerdict:
     """The control group's verdict on a claim to a trial."""
 
-    wanted: TrialWanted
+    wanted: ClaimTrial
     verdict: ClaimVerdict
 
 
@@ -219,7 +219,7 @@
 
 
 @values.frozen
-class TrialWanted:
+class ClaimTrial:
     """Claims the right to try a suspect request once, for all entries.
 
     Attributes:
@@ -263,10 +263,10 @@
 
 
 @values.frozen
-class TrialUnused:
+class ReleaseTrialClaim:
     """Releases a granted claim under which nothing was sent."""
 
-    wanted: TrialWanted
+    wanted: ClaimTrial
 
 
 @values.frozen
--- a/greengagemoor/forward/partintake.py
+++ b/greengagemoor/forward/part_receiver.py
@@ -5,9 +5,9 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from greengagemoor.forward import completion, evidence, starting, trialtable
+from greengagemoor.forward import completion, evidence, first_sends, trial_table
 from greengagemoor.forward.messages import Ending
-from greengagemoor.forward.partmessages import (
+from greengagemoor.forward.part_messages import (
     AskPart,
     FromPeer,
     PartAnswered,
@@ -28,7 +28,7 @@
     from greengagemoor.forward.tables import Tables
 
 
-def without_dropped(msgs: Iterable[object]) -> list[object]:
+def filter_dropped(msgs: Iterable[object]) -> list[object]:
     """Filters out parts that are requested and dropped in the same tick.
 
     An entry that was frozen reads both messages when it resumes; without the
@@ -54,7 +54,7 @@
     return msg.name in gone or (msg.name, msg.payload.part_id) in dropped
 
 
-def take_ask(tables: Tables, peer: str, msg: AskPart) -> None:
+def accept_part(tables: Tables, peer: str, msg: AskPart) -> None:
     """Queries some shards for another entry, or rejects the part at once."""
     if (peer, msg.part_id) in tables.origins:
         return
@@ -67,18 +67,18 @@
     tables.origins[(peer, msg.part_id)] = request
     tables.out.append(PartOpened(request.token, msg.copy))
     tables.out.append(ToPeer(peer, PartTaken(msg.part_id)))
-    starting.start(tables, request)
+    first_sends.start(tables, request)
     if not request.done:
-        check = partial(completion.look, tables, request)
-        tables.set_timer(request.give_at, check)
-        tables.set_timer(request.ends_at, partial(_expire, tables, request))
+        check = partial(completion.check, tables, request)
+        tables.set_timer(request.soft_deadline, check)
+        tables.set_timer(request.deadline, partial(_expire, tables, request))
 
 
 def _may_accept(tables: Tables, msg: AskPart) -> bool:
     """Whether this entry is ready, and the request in time and not suspect."""
-    if not tables.takes_parts or msg.end_in_s <= 0:
+    if not tables.accepts_parts or msg.end_in_s <= 0:
         return False
-    if trialtable.is_refused(tables, msg.fingerprint):
+    if trial_table.is_refused(tables, msg.fingerprint):
         return False
     return not evidence.is_suspect(tables, msg.fingerprint)
 
@@ -101,8 +101,8 @@
         request_id=msg.request_id,
         route=route,
         arrived_at=now,
-        give_at=now + msg.give_in_s,
-        ends_at=now + msg.end_in_s,
+        soft_deadline=now + msg.give_in_s,
+        deadline=now + msg.end_in_s,
         fingerprint=msg.fingerprint,
         origin=Origin(peer, msg.part_id),
         is_confirmed=False,
@@ -116,21 +116,21 @@
         completion.finish(tables, request, Ending.NO_ANSWER)
 
 
-def take_confirmed(tables: Tables, peer: str, msg: PartConfirmed) -> None:
+def allow_second_sends(tables: Tables, peer: str, msg: PartConfirmed) -> None:
     """Allows second sends to the shards of a part."""
     request = tables.origins.get((peer, msg.part_id))
     if request is not None:
         request.is_confirmed = True
 
 
-def take_dropped(tables: Tables, peer: str, msg: PartDropped) -> None:
+def end_dropped_part(tables: Tables, peer: str, msg: PartDropped) -> None:
     """Ends a part that is no longer wanted."""
     request = tables.origins.get((peer, msg.part_id))
     if request is not None:
         _drop_part(tables, request, answered=msg.answered)
 
 
-def take_down(tables: Tables, peer: str) -> None:
+def end_parts_of(tables: Tables, peer: str) -> None:
     """Ends all parts of an entry whose link is down."""
     orphaned = [
         request for (name, _), request in tables.origins.items() if name == peer
--- a/greengagemoor/forward/aggregating.py
+++ b/greengagemoor/forward/part_reports.py
@@ -7,7 +7,7 @@
 import attrs
 
 from greengagemoor.forward.mergers import GREATEST_RECORDS, mergers
-from greengagemoor.forward.partmessages import (
+from greengagemoor.forward.part_messages import (
     LegEnd,
     PartAnswered,
     PartClosed,
@@ -20,7 +20,7 @@
     from greengagemoor.forward.tables import Leg, Request, Tables
 
 
-def tell(tables: Tables, request: Request) -> None:
+def report_results(tables: Tables, request: Request) -> None:
     """Reports all results that were not reported yet, in one message.
 
     Answers are merged until they are due: sent one by one, they would take as
@@ -28,12 +28,12 @@
     without an answer is reported at once: if too many have none, the caller is
     notified early and has time to retry.
     """
-    is_due = tables.now >= request.give_at
+    is_due = tables.now >= request.soft_deadline
     answered = [leg for leg in _unreported(request) if leg.answer is not None]
     failed = [leg for leg in _unreported(request) if leg.dead]
     if failed or (answered and is_due):
         msg = _merge_answers(request, answered if is_due else [])
-        request.origin.told.update(leg.service for leg in failed)
+        request.origin.reported.update(leg.service for leg in failed)
         _send(tables, request, attrs.evolve(msg, missing=_leg_ends(failed)))
 
 
@@ -73,7 +73,7 @@
 
 
 def _unreported(request: Request) -> list[Leg]:
-    reported = request.origin.told
+    reported = request.origin.reported
     return [leg for leg in request.legs if leg.service not in reported]
 
 
@@ -83,7 +83,7 @@
 
 def _merge_answers(request: Request, legs: list[Leg]) -> PartAnswered:
     merge = mergers.get(GREATEST_RECORDS)
-    request.origin.told.update(leg.service for leg in legs)
+    request.origin.reported.update(leg.service for leg in legs)
     return PartAnswered(
         request.origin.part_id,
         tuple(leg.service for leg in legs),
--- a/greengagemoor/forward/parts.py
+++ b/greengagemoor/forward/parts.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from greengagemoor.forward.partmessages import PartDropped, ToPeer
+from greengagemoor.forward.part_messages import PartDropped, ToPeer
 from greengagemoor.forward.timing import Slowness
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
 
     Attributes:
         legs: legs by service.
-        taken: whether the helper has acknowledged the part.
+        is_acknowledged: whether the helper has acknowledged the part.
     """
 
     part_id: int
@@ -45,7 +45,7 @@
     helper: Helper
     legs: dict[str, Leg]
     asked_at: float
-    taken: bool = False
+    is_acknowledged: bool = False
 
 
 @attrs.define(eq=False, repr=False)
@@ -55,12 +55,12 @@
     Attributes:
         peer: name of that entry.
         part_id: id of the part at that entry.
-        told: services whose answer, or end without one, has been reported.
+        reported: services whose answer, or end without one, has been reported.
     """
 
     peer: str
     part_id: int
-    told: set[str] = attrs.field(factory=set)
+    reported: set[str] = attrs.field(factory=set)
 
 
 def close(tables: Tables, part: Part) -> None:
--- a/greengagemoor/forward/policy.py
+++ b/greengagemoor/forward/policy.py
@@ -17,20 +17,20 @@
             send is hedged.
         hedge_medians: upper bound of that delay, in medians of the route, as
             slow searchers raise the quantile to their own times.
-        caller_way_s: time that a caller's request and answer spend on the
+        caller_network_s: time that a caller's request and answer spend on the
             network, where the system doesn't report the round-trip time: the
             connection's handshake and one way in each direction.
         caller_read_s: time from a request's arrival at a busy process until
             it is read.
-        most_way_share: largest share of an objective reserved for the
+        max_network_share: largest share of an objective reserved for the
             network: a link that loses packets would otherwise leave no time
             for searchers.
         linger_s: how long a send whose answer is no longer needed may go on
             before its connection is closed.
-        busy_share: share of the objective that a request waits for a free
+        max_wait_share: share of the objective that a request waits for a free
             connection.
-        places: least number of entries among which a connection cap and the
-            retry slack are divided.
+        min_sharers: least number of entries among which a connection cap and
+            the retry slack are divided.
     """
 
     retry_ratio: float = 0.17
@@ -38,9 +38,9 @@
     retry_window_s: float = 10.0
     hedge_quantile: float = 0.9
     hedge_medians: float = 2.0
-    caller_way_s: float = 0.012
+    caller_network_s: float = 0.012
     caller_read_s: float = 0.004
-    most_way_share: float = 0.25
+    max_network_share: float = 0.25
     linger_s: float = 0.03
-    busy_share: float = 0.2
-    places: int = 10
+    max_wait_share: float = 0.2
+    min_sharers: int = 10
--- a/greengagemoor/forward/proof.py
+++ b/greengagemoor/forward/retry_deferral.py
@@ -25,7 +25,7 @@
 sometimes ends by chance; that two do and none answers is rare."""
 
 
-def note_end(attempt: Attempt, msg: AttemptEnded) -> None:
+def record_end(attempt: Attempt, msg: AttemptEnded) -> None:
     """Records a searcher that seems to have ended while running a request.
 
     The searcher may merely have closed an idle connection that broke; it is
@@ -38,13 +38,13 @@
     else:
         ended = msg.outcome is Outcome.NOT_SENT and leg.broken_by is searcher
     if ended:
-        leg.request.ended_under |= {searcher.searcher_id}
+        leg.request.ended_searchers |= {searcher.searcher_id}
 
 
-def wait(tables: Tables, leg: Leg, outcome: Outcome) -> None:
+def defer_retry(tables: Tables, leg: Leg, outcome: Outcome) -> None:
     """Defers a leg's retry until a searcher has answered its request."""
     request = leg.request
-    request.unproved_legs.append((leg, outcome))
+    request.deferred_legs.append((leg, outcome))
     if any(other.attempts for other in request.legs):
         at = tables.now + sending.hedge_delay(tables, request.route)
         tables.set_timer(at, partial(_stop_waiting, tables, request))
@@ -54,26 +54,26 @@
 
 def _stop_waiting(tables: Tables, request: Request) -> None:
     """Stops waiting if all other shards are slow: one end is weak evidence."""
-    if request.unproved_legs and not request.done:
+    if request.deferred_legs and not request.done:
         _release_or_give_up(tables, request)
 
 
 def _release_or_give_up(tables: Tables, request: Request) -> None:
-    if len(request.ended_under) < GIVE_UP_ENDS:
-        release(tables, request)
+    if len(request.ended_searchers) < GIVE_UP_ENDS:
+        send_deferred(tables, request)
     elif not any(leg.attempts for leg in request.legs):
-        deferred, request.unproved_legs = request.unproved_legs, []
+        deferred, request.deferred_legs = request.deferred_legs, []
         for leg, _ in deferred:
             leg.give_up()
 
 
-def release(tables: Tables, request: Request) -> None:
+def send_deferred(tables: Tables, request: Request) -> None:
     """Sends the deferred retries."""
-    deferred, request.unproved_legs = request.unproved_legs, []
+    deferred, request.deferred_legs = request.deferred_legs, []
     for leg, outcome in deferred:
         if not leg.is_open or leg.attempts:
             continue
         if not leg.sends:
-            sending.wait_for_place(tables, leg)
-        elif not sending.repeat(tables, leg, outcome, stale=False):
+            sending.enqueue(tables, leg)
+        elif not sending.retry(tables, leg, outcome, stale=False):
             leg.give_up()
--- a/greengagemoor/forward/searchers.py
+++ b/greengagemoor/forward/searchers.py
@@ -23,14 +23,14 @@
     from greengagemoor.forward.tables import Tables
 
 
-def take(tables: Tables, row: SearcherRow) -> list[AttemptEnded]:
+def apply_row(tables: Tables, row: SearcherRow) -> list[AttemptEnded]:
     """Applies an update of a searcher's row.
 
     Returns:
         The ends of sends to an earlier process of the searcher.
     """
-    if tables.possible_ends:
-        evidence.note_row(tables, row)
+    if tables.possible_crashes:
+        evidence.check_searcher_row(tables, row)
     known = tables.searchers.get(row.searcher_id)
     if known is not None and known.start != row.start:
         return _replace_restarted(tables, known, row)
@@ -92,7 +92,7 @@
     tables.by_service[searcher.service].remove(searcher)
 
 
-def take_slow(tables: Tables, msg: SlowSearchers) -> None:
+def mark_slow(tables: Tables, msg: SlowSearchers) -> None:
     """Marks searchers that other entries report as slow."""
     for key in msg.searchers:
         searcher = tables.searchers.get(key.searcher_id)
@@ -100,7 +100,7 @@
             searcher.slow_until = tables.now + msg.for_s
 
 
-def take_evacuations(tables: Tables, msg: EvacuationsLearnt) -> None:
+def apply_evacuations(tables: Tables, msg: EvacuationsLearnt) -> None:
     """Updates the set of evacuated data centres.
 
     Sends under way there complete normally. Idle connections are closed, as a
@@ -141,5 +141,5 @@
     fewer entries are visible, can't raise the share.
     """
     rules = tables.services.get(service)
-    cap = rules.connection_cap if rules is not None else tables.sharers
-    return max(1, cap // tables.sharers)
+    cap = rules.connection_cap if rules is not None else tables.sharing_entries
+    return max(1, cap // tables.sharing_entries)
--- a/greengagemoor/forward/choosing.py
+++ b/greengagemoor/forward/selection.py
@@ -6,14 +6,14 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor.feed.messages import SearcherState, SlowSeen
-from greengagemoor.forward import coldstart
+from greengagemoor.forward import cold_start
 from greengagemoor.util import values
 
 if TYPE_CHECKING:
     from greengagemoor.forward.messages import SearcherLoad
     from greengagemoor.forward.tables import Leg, Searcher, Tables
 
-SLOW_FOR_OTHERS = 4.0
+REPORTED_SLOWNESS = 4.0
 """Least slowness assumed of a searcher that other entries report as slow; the
 usual faults make requests take 4 to 9 times as long."""
 OWN_ANSWER_FRESH_S = 1.0
@@ -22,19 +22,19 @@
 SLOW_RATIO = 3.0
 """Multiple of the route's median from which a send counts as slow; 2 of 100
 sends exceed it at a searcher without a fault."""
-RELAX_S = 8.0
+DECAY_S = 8.0
 """Time constant, in seconds, of the exponential decay of a searcher's measured
 slowness and failure rate, so that one that recovers gets sends again."""
 LATE_FACTOR = 2.5
 """Multiple of the route's median after which a send under way raises the cost
 of its searcher, which may have paused. Each send made there before the answer
 would wait for the end of the pause too."""
-NOISE = 0.15
+COST_JITTER = 0.15
 """Largest random share added to a cost, so that entries don't all choose the
 same searcher."""
-OTHER_DATA_CENTRE = 1.7
+OTHER_DATA_CENTRE_FACTOR = 1.7
 """Factor on the cost of a searcher in another data centre."""
-COLD = 1.6
+COLD_FACTOR = 1.6
 """Factor on the cost of a searcher that has just started."""
 FAILURE_WEIGHT = 6.0
 """Increase of the factor on a searcher's cost if all its sends fail."""
@@ -67,12 +67,13 @@
     """
     rows = tables.by_service.get(leg.service, ())
     usable = [
-        row for row in rows if row not in leg.asked and is_usable(tables, row)
+        row for row in rows if row not in leg.tried and is_usable(tables, row)
     ]
     available = [
         row
         for row in usable
-        if len(row.attempts) < row.cap and coldstart.has_turn(tables, row)
+        if len(row.attempts) < row.cap
+        and cold_start.is_within_rate(tables, row)
     ]
     if not available:
         return None
@@ -87,7 +88,7 @@
         return False
     if row.data_centre in tables.evacuated:
         return False
-    if not coldstart.may_use(tables, row):
+    if not cold_start.is_selected(tables, row):
         return False
     if tables.now < row.avoid_until:
         return False
@@ -106,24 +107,24 @@
     cost = _slowness(tables, row) * (1.0 + _queue(row))
     cost *= 1.0 + FAILURE_WEIGHT * _failure_rate(tables, row)
     if tables.now < row.cold_until:
-        cost *= COLD
+        cost *= COLD_FACTOR
     if row.data_centre != tables.data_centre:
-        cost *= OTHER_DATA_CENTRE
+        cost *= OTHER_DATA_CENTRE_FACTOR
     cost += _lateness(tables, row, median)
-    return cost * (1.0 + NOISE * tables.rng.random())
+    return cost * (1.0 + COST_JITTER * tables.rng.random())
 
 
 def _slowness(tables: Tables, row: Searcher) -> float:
     age = max(0.0, tables.now - row.answered_at)
-    decay = math.exp(-age / RELAX_S)
+    decay = math.exp(-age / DECAY_S)
     if tables.now < row.slow_until and age > OWN_ANSWER_FRESH_S:
-        return max(row.slowness.value, SLOW_FOR_OTHERS)
+        return max(row.slowness.value, REPORTED_SLOWNESS)
     return 1.0 + (row.slowness.value - 1.0) * decay
 
 
 def _failure_rate(tables: Tables, row: Searcher) -> float:
-    age = max(0.0, tables.now - row.judged_at)
-    return row.failing * math.exp(-age / RELAX_S)
+    age = max(0.0, tables.now - row.failure_rate_at)
+    return row.failure_rate * math.exp(-age / DECAY_S)
 
 
 def _update_failure_rate(
@@ -131,8 +132,8 @@
 ) -> None:
     """Updates the smoothed share of failed sends."""
     before = _failure_rate(tables, row)
-    row.failing = before + FAILURE_SMOOTHING * (failed - before)
-    row.judged_at = tables.now
+    row.failure_rate = before + FAILURE_SMOOTHING * (failed - before)
+    row.failure_rate_at = tables.now
 
 
 def _queue(row: Searcher) -> float:
--- a/greengagemoor/forward/sending.py
+++ b/greengagemoor/forward/sending.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from greengagemoor.forward import choosing, coldstart
+from greengagemoor.forward import cold_start, selection
 from greengagemoor.forward.messages import (
     CancelAttempt,
     Outcome,
@@ -26,32 +26,32 @@
 MIN_HEDGE_DELAY_S = 0.004
 """Least delay of a hedge in seconds: within a network round trip the answer may
 be on its way."""
-LOOK_AGAIN_S = 0.01
+RECHECK_INTERVAL_S = 0.01
 """Interval in seconds at which waiting legs check for a free connection, and
 late ones for budget; a tenth of the time that a request usually takes."""
 
 
-def send(tables: Tables, leg: Leg, *, second: bool = False) -> bool:
+def send(tables: Tables, leg: Leg, *, hedge: bool = False) -> bool:
     """Sends to the cheapest searcher with a free connection.
 
     Returns:
         False if no searcher is available.
     """
-    choice = choosing.choose(tables, leg)
+    choice = selection.choose(tables, leg)
     if choice is None:
         return False
-    _send_to(tables, leg, choice, second=second)
+    _send_to(tables, leg, choice, hedge=hedge)
     return True
 
 
 def _send_to(
-    tables: Tables, leg: Leg, choice: choosing.Choice, *, second: bool = False
+    tables: Tables, leg: Leg, choice: selection.Choice, *, hedge: bool = False
 ) -> None:
     searcher = choice.searcher
     request = leg.request
-    request.steps.append(_sent_step(tables, leg, choice, second=second))
+    request.steps.append(_sent_step(tables, leg, choice, hedge=hedge))
     attempt = Attempt(
-        next(tables.ids), leg, searcher, tables.now, is_second=second
+        next(tables.ids), leg, searcher, tables.now, is_hedge=hedge
     )
     tables.attempts[attempt.attempt_id] = attempt
     searcher.attempts[attempt.attempt_id] = attempt
@@ -59,7 +59,7 @@
     if not leg.sends:
         leg.first_sent_at = tables.now
     leg.attempts.append(attempt)
-    leg.asked.append(searcher)
+    leg.tried.append(searcher)
     leg.runs += 1
     leg.sends += 1
     tables.out.append(
@@ -69,7 +69,7 @@
             request.request_id,
             searcher.searcher_id,
             searcher.address,
-            request.ends_at,
+            request.deadline,
         )
     )
     if request.route.grade is Grade.REPEATABLE:
@@ -77,11 +77,11 @@
 
 
 def _sent_step(
-    tables: Tables, leg: Leg, choice: choosing.Choice, *, second: bool
+    tables: Tables, leg: Leg, choice: selection.Choice, *, hedge: bool
 ) -> Step:
     chosen = choice.searcher
     return Step(
-        StepKind.SENT_BESIDE if second else StepKind.SENT,
+        StepKind.SENT_BESIDE if hedge else StepKind.SENT,
         tables.now - leg.request.arrived_at,
         leg.service,
         chosen.searcher_id,
@@ -92,7 +92,7 @@
     )
 
 
-def wait_for_place(tables: Tables, leg: Leg) -> None:
+def enqueue(tables: Tables, leg: Leg) -> None:
     """Queues a leg until a searcher has a free connection, by route rank.
 
     Absorbs bursts: without the queue each leg beyond the free connections
@@ -111,27 +111,27 @@
 
 
 def _arm_queue_timer(tables: Tables, service: str) -> None:
-    at = tables.now + LOOK_AGAIN_S
+    at = tables.now + RECHECK_INTERVAL_S
     tables.set_timer(at, partial(_serve_queue_on_timer, tables, service))
 
 
 def _serve_queue_on_timer(tables: Tables, service: str) -> None:
-    serve_waiting(tables, service)
+    send_queued(tables, service)
     if tables.waiting.get(service):
         _arm_queue_timer(tables, service)
 
 
-def serve_waiting(tables: Tables, service: str) -> None:
+def send_queued(tables: Tables, service: str) -> None:
     """Sends queued legs of the service while connections are free."""
     queue = tables.waiting.get(service)
     while queue:
         leg = queue[0][2]
         request = leg.request
         wanted = leg.is_open and not leg.attempts and not request.done
-        if wanted and request.is_unproved:
+        if wanted and request.needs_first_answer:
             # Searchers crashed under this request: sent before any searcher
             # has answered it, it might crash another one.
-            request.unproved_legs.append((leg, Outcome.NOT_RUN))
+            request.deferred_legs.append((leg, Outcome.NOT_RUN))
         elif wanted and not send(tables, leg):
             return
         heapq.heappop(queue)
@@ -165,12 +165,12 @@
         return
     budget = tables.budget_of(leg.service)
     if (
-        request.is_unproved
+        request.needs_first_answer
         or not request.is_confirmed
         or not budget.may_take(tables.now)
-        or not send(tables, leg, second=True)
+        or not send(tables, leg, hedge=True)
     ):
-        at = tables.now + LOOK_AGAIN_S
+        at = tables.now + RECHECK_INTERVAL_S
         tables.set_timer(at, partial(_hedge, tables, leg, sends))
     else:
         budget.take(tables.now)
@@ -188,11 +188,11 @@
     return (
         leg.runs < request.route.attempts
         and leg.sends < MAX_SENDS
-        and tables.now < request.ends_at
+        and tables.now < request.deadline
     )
 
 
-def repeat(tables: Tables, leg: Leg, outcome: Outcome, *, stale: bool) -> bool:
+def retry(tables: Tables, leg: Leg, outcome: Outcome, *, stale: bool) -> bool:
     """Retries a leg after a send that ended without a good answer.
 
     Returns:
@@ -207,7 +207,7 @@
         leg.request.route.grade is not Grade.REPEATABLE
     ):
         return False
-    if stale and send_afresh(tables, leg):
+    if stale and resend_after_stale(tables, leg):
         return True
     if not may_send_more(tables, leg):
         return False
@@ -231,7 +231,7 @@
     return budget.take(tables.now)
 
 
-def send_afresh(tables: Tables, leg: Leg) -> bool:
+def resend_after_stale(tables: Tables, leg: Leg) -> bool:
     """Sends again to a searcher that had closed an idle connection.
 
     As it is the same searcher, this is no further attempt: a route that allows
@@ -240,19 +240,19 @@
     reset the connection looks the same: uncounted, 244 retries were sent where
     242 are allowed.
     """
-    searcher = leg.asked[-1]
+    searcher = leg.tried[-1]
     if tables.searchers.get(searcher.searcher_id) is not searcher:
         return False
-    if not choosing.is_usable(tables, searcher):
+    if not selection.is_usable(tables, searcher):
         return False
-    if not coldstart.has_turn(tables, searcher):
+    if not cold_start.is_within_rate(tables, searcher):
         return False
-    if leg.sends >= MAX_SENDS or tables.now >= leg.request.ends_at:
+    if leg.sends >= MAX_SENDS or tables.now >= leg.request.deadline:
         return False
     tables.budget_of(leg.service).count(tables.now)
     leg.runs -= 1
-    leg.asked.pop()
-    _send_to(tables, leg, choosing.Choice(searcher, 0.0))
+    leg.tried.pop()
+    _send_to(tables, leg, selection.Choice(searcher, 0.0))
     return True
 
 
@@ -260,7 +260,7 @@
     """Retries at searchers tried before, as no other one is available."""
     if outcome not in (Outcome.NOT_RUN, Outcome.BROKEN, Outcome.ANSWERED):
         return False
-    leg.asked.clear()
+    leg.tried.clear()
     return send(tables, leg)
 
 
--- a/greengagemoor/forward/tables.py
+++ b/greengagemoor/forward/tables.py
@@ -13,22 +13,22 @@
 from greengagemoor.control.evacuations import EvacuationView
 from greengagemoor.feed.messages import SearcherKey, SearcherState
 from greengagemoor.feed.suspects import SuspectTable
+from greengagemoor.forward.answer_delay import AnswerDelay
 from greengagemoor.forward.budget import SendBudget
-from greengagemoor.forward.leaving import LeavingDelay
 from greengagemoor.forward.timing import RouteTimes, Slowness
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from greengagemoor.forward.evidence import PossibleEnd
+    from greengagemoor.forward.evidence import PossibleCrash
     from greengagemoor.forward.messages import Outcome, SearcherAnswer, Step
     from greengagemoor.forward.parts import Helper, Origin, Part
     from greengagemoor.forward.policy import Policy
-    from greengagemoor.forward.trialtable import Trial
+    from greengagemoor.forward.trial_table import Trial
     from greengagemoor.routing.routes import Route, ServiceRules
 
 MAX_RECENT_ENDS = 64
-"""Items kept in ``recent_ends`` and in ``recent_suspects``: more than the
+"""Items kept in ``recent_crashes`` and in ``recent_suspects``: more than the
 searchers that end within the time in which a trial is judged."""
 
 
@@ -39,7 +39,7 @@
     Attributes:
         others: requests of other entries at the searcher, as it last
             reported; only logged, not used for selection.
-        failing: smoothed share of sends that failed.
+        failure_rate: smoothed share of sends that failed.
         sent_at: time of this entry's last send to it.
         avoid_until: it is not selected before, after consecutive failures.
         slow_until: until then other entries report it as slow.
@@ -59,8 +59,8 @@
     answered_at: float = float("-inf")
     others: float = 0.0
     load_at: float = float("-inf")
-    failing: float = 0.0
-    judged_at: float = float("-inf")
+    failure_rate: float = 0.0
+    failure_rate_at: float = float("-inf")
     failures: int = 0
     avoid_until: float = float("-inf")
     slow_until: float = float("-inf")
@@ -80,7 +80,7 @@
     leg: Leg
     searcher: Searcher
     sent_at: float
-    is_second: bool
+    is_hedge: bool
 
 
 @attrs.define(eq=False, repr=False)
@@ -99,7 +99,7 @@
     request: Request
     service: str
     attempts: list[Attempt] = attrs.field(factory=list)
-    asked: list[Searcher] = attrs.field(factory=list)
+    tried: list[Searcher] = attrs.field(factory=list)
     runs: int = 0
     sends: int = 0
     broken_by: Searcher | None = None
@@ -118,7 +118,9 @@
         """Whether an answer may still arrive."""
         return self.answer is None and not self.dead
 
-    def take(self, answer: SearcherAnswer, searcher_id: str, at: float) -> None:
+    def accept_answer(
+        self, answer: SearcherAnswer, searcher_id: str, at: float
+    ) -> None:
         """Records the final answer and who gave it."""
         self.answer = answer
         self.answered_by = searcher_id
@@ -136,19 +138,19 @@
     """A request of a caller, or a part for another entry, until its answer.
 
     Attributes:
-        give_at: from then on an answer with sufficient coverage is given at
-            once.
-        ends_at: deadline of the answer.
+        soft_deadline: from then on an answer with sufficient coverage is given
+            at once.
+        deadline: deadline of the answer.
         answered, given_up: numbers of such legs. They are counters because,
             with 60 shards, each of 60 answers would scan all legs.
-        ended_under: searchers that seem to have ended while running it.
-        unproved_legs: legs to send again once a searcher has answered.
+        ended_searchers: searchers that seem to have ended while running it.
+        deferred_legs: legs to send again once a searcher has answered.
         is_held: nothing is sent until a trial of the request succeeds.
         is_trial: the only send in flight is that trial.
         is_confirmed: whether a shard may be sent a second request; False while
             another entry may still query the shards itself.
         is_shared: helpers were asked for some of its legs.
-        part_sends: sends of helpers beyond the first of each leg.
+        helper_sends: sends of helpers beyond the first of each leg.
         origin: the entry that asked for this part; None for a caller's request.
         is_dropped: that entry no longer waits for the part.
     """
@@ -157,21 +159,21 @@
     request_id: str
     route: Route
     arrived_at: float
-    give_at: float
-    ends_at: float
+    soft_deadline: float
+    deadline: float
     fingerprint: bytes = b""
     legs: list[Leg] = attrs.field(factory=list)
     steps: list[Step] = attrs.field(factory=list)
     done: bool = False
     answered: int = 0
     given_up: int = 0
-    ended_under: frozenset[str] = frozenset()
-    unproved_legs: list[tuple[Leg, Outcome]] = attrs.field(factory=list)
+    ended_searchers: frozenset[str] = frozenset()
+    deferred_legs: list[tuple[Leg, Outcome]] = attrs.field(factory=list)
     is_held: bool = False
     is_trial: bool = False
     is_confirmed: bool = True
     is_shared: bool = False
-    part_sends: int = 0
+    helper_sends: int = 0
     origin: Origin | None = None
     is_dropped: bool = False
 
@@ -181,9 +183,9 @@
         return self.answered + self.given_up < len(self.legs)
 
     @property
-    def is_unproved(self) -> bool:
+    def needs_first_answer(self) -> bool:
         """Whether searchers ended while running it and none has answered."""
-        return bool(self.ended_under) and not self.answered
+        return bool(self.ended_searchers) and not self.answered
 
     @property
     def sends(self) -> int:
@@ -199,13 +201,13 @@
         name: name of this entry.
         due_at: scheduled time of the timer that runs, which may fire late;
             ``now`` while messages are processed.
-        possible_ends: searchers that broke off a send and may have ended.
-        recent_ends: searchers that did end, latest last.
+        possible_crashes: searchers that broke off a send and may have ended.
+        recent_crashes: searchers that did end, latest last.
         evacuated: data centres whose searchers receive no requests.
         recent_suspects: time and fingerprint of requests that became suspect.
         link_bytes_per_s: bandwidth of this entry's link, 0 if not known.
         answer_bytes: usual size of an answer with its headers, by route.
-        takes_parts: whether this entry accepts parts of other entries.
+        accepts_parts: whether this entry accepts parts of other entries.
         helpers: other entries with a working link, by name.
         parts: parts delegated to helpers that have not ended, by id.
         origins: parts that this entry runs for others, by entry name and
@@ -232,11 +234,13 @@
     waiting: dict[str, list[tuple[int, int, Leg]]] = attrs.field(factory=dict)
     budgets: dict[str, SendBudget] = attrs.field(factory=dict)
     times: dict[str, RouteTimes] = attrs.field(factory=dict)
-    patience: dict[str, float] = attrs.field(factory=dict)
-    leaving: LeavingDelay = attrs.field(factory=LeavingDelay)
+    max_remaining_wait_s: dict[str, float] = attrs.field(factory=dict)
+    answer_delay: AnswerDelay = attrs.field(factory=AnswerDelay)
     suspects: SuspectTable = attrs.field(factory=SuspectTable)
-    possible_ends: dict[SearcherKey, PossibleEnd] = attrs.field(factory=dict)
-    recent_ends: deque[PossibleEnd] = attrs.field(
+    possible_crashes: dict[SearcherKey, PossibleCrash] = attrs.field(
+        factory=dict
+    )
+    recent_crashes: deque[PossibleCrash] = attrs.field(
         factory=lambda: deque(maxlen=MAX_RECENT_ENDS)
     )
     recent_suspects: deque[tuple[float, bytes]] = attrs.field(
@@ -249,7 +253,7 @@
     trials: dict[bytes, Trial] = attrs.field(factory=dict)
     link_bytes_per_s: float = 0.0
     answer_bytes: dict[str, float] = attrs.field(factory=dict)
-    takes_parts: bool = False
+    accepts_parts: bool = False
     helpers: dict[str, Helper] = attrs.field(factory=dict)
     parts: dict[int, Part] = attrs.field(factory=dict)
     part_times: dict[str, RouteTimes] = attrs.field(factory=dict)
@@ -264,7 +268,7 @@
             policy = self.policy
             budget = SendBudget(
                 policy.retry_ratio,
-                policy.retry_slack / self.sharers,
+                policy.retry_slack / self.sharing_entries,
                 policy.retry_window_s,
                 self.started_at,
                 self.rng.random(),
@@ -273,9 +277,9 @@
         return budget
 
     @property
-    def sharers(self) -> int:
+    def sharing_entries(self) -> int:
         """Number of entries among which shared limits are divided."""
-        return max(self.policy.places, self.entries)
+        return max(self.policy.min_sharers, self.entries)
 
     def times_of(self, route: Route) -> RouteTimes:
         """Returns the times of recent sends on the route."""
--- a/greengagemoor/forward/timing.py
+++ b/greengagemoor/forward/timing.py
@@ -18,7 +18,7 @@
 MIN_WEIGHT = 0.15
 """Least weight of an answer in the smoothed slowness; it applies where answers
 are frequent."""
-MEMORY_S = 2.0
+SMOOTHING_S = 2.0
 """Time constant of the smoothed slowness in seconds: an answer this long after
 the previous one has a weight of 0.6. With many entries, each of them gets an
 answer from a searcher only every few seconds; with small weights it would find
@@ -77,5 +77,5 @@
                 weight the new answer has.
         """
         bounded = min(max(ratio, 0.2), 20.0)
-        weight = max(MIN_WEIGHT, 1.0 - math.exp(-age_s / MEMORY_S))
+        weight = max(MIN_WEIGHT, 1.0 - math.exp(-age_s / SMOOTHING_S))
         self.value += weight * (bounded - self.value)
--- a/greengagemoor/forward/trialtable.py
+++ b/greengagemoor/forward/trial_table.py
@@ -10,7 +10,7 @@
 from greengagemoor.feed.suspects import Standing
 
 if TYPE_CHECKING:
-    from greengagemoor.forward.messages import TrialWanted
+    from greengagemoor.forward.messages import ClaimTrial
     from greengagemoor.forward.tables import Request, Tables
 
 MAX_TRIALS_KEPT = 1024
@@ -36,7 +36,7 @@
         epoch: epoch of the request's row.
         claim: id of this entry's current claim, unique in this process.
         until: end of a grant, or of the pause after all trials were spent.
-        wanted: the claim that was sent last.
+        last_claim: the claim that was sent last.
         held: requests that wait for the trial to end.
     """
 
@@ -46,7 +46,7 @@
     number: int = 1
     stage: Stage = Stage.IDLE
     until: float = 0.0
-    wanted: TrialWanted | None = None
+    last_claim: ClaimTrial | None = None
     held: list[Request] = attrs.field(factory=list)
 
 
@@ -59,7 +59,7 @@
     return spent and tables.now < trial.until
 
 
-def trial_of(tables: Tables, fingerprint: bytes) -> Trial:
+def get_or_create_trial(tables: Tables, fingerprint: bytes) -> Trial:
     """Returns the trial of a request that has a row, created on demand."""
     trial = tables.trials.get(fingerprint)
     row = tables.suspects.get(fingerprint)
--- a/greengagemoor/forward/trials.py
+++ b/greengagemoor/forward/trials.py
@@ -17,17 +17,28 @@
 
 from greengagemoor.codes import ClaimVerdict
 from greengagemoor.feed.suspects import Standing
-from greengagemoor.forward import completion, ended, evidence, sending, starting
+from greengagemoor.forward import (
+    attempt_end,
+    completion,
+    evidence,
+    first_sends,
+    sending,
+)
 from greengagemoor.forward.messages import (
+    ClaimTrial,
     Ending,
     Outcome,
+    ReleaseTrialClaim,
     Step,
     StepKind,
-    TrialDecided,
-    TrialUnused,
-    TrialWanted,
+    TrialVerdict,
+)
+from greengagemoor.forward.trial_table import (
+    Stage,
+    Trial,
+    get_or_create_trial,
+    is_refused,
 )
-from greengagemoor.forward.trialtable import Stage, Trial, is_refused, trial_of
 
 if TYPE_CHECKING:
     from greengagemoor.forward.messages import AttemptEnded
@@ -47,13 +58,13 @@
 
 def hold(tables: Tables, request: Request) -> None:
     """Holds a suspect request until it is sent as a trial or is cleared."""
-    trial = trial_of(tables, request.fingerprint)
+    trial = get_or_create_trial(tables, request.fingerprint)
     request.is_held = True
     after = tables.now - request.arrived_at
     request.steps.append(Step(StepKind.HELD, after, ""))
     trial.held.append(request)
     reject = partial(_reject, tables, request, Ending.NOT_RUN_SUSPECT)
-    tables.set_timer(request.give_at, reject)
+    tables.set_timer(request.soft_deadline, reject)
     _advance(tables, trial)
 
 
@@ -76,19 +87,19 @@
 def _send_claim(tables: Tables, trial: Trial) -> None:
     trial.stage = Stage.ASKED
     trial.until = tables.now + TRIAL_VALID_S
-    trial.wanted = TrialWanted(
+    trial.last_claim = ClaimTrial(
         trial.fingerprint, trial.epoch, trial.number, trial.claim, TRIAL_VALID_S
     )
-    tables.out.append(trial.wanted)
+    tables.out.append(trial.last_claim)
 
 
-def take_decided(tables: Tables, msg: TrialDecided) -> None:
+def apply_verdict(tables: Tables, msg: TrialVerdict) -> None:
     """Applies the control group's verdict on a claim."""
     wanted = msg.wanted
     trial = tables.trials.get(wanted.fingerprint)
-    if trial is None or trial.wanted != wanted:
+    if trial is None or trial.last_claim != wanted:
         if msg.verdict is ClaimVerdict.GRANTED:
-            tables.out.append(TrialUnused(wanted))
+            tables.out.append(ReleaseTrialClaim(wanted))
         return
     if msg.verdict is ClaimVerdict.GRANTED:
         trial.stage = Stage.GRANTED
@@ -126,7 +137,7 @@
                 _mark_running(tables, trial, request, leg.service)
                 return
     retry = partial(_advance, tables, trial)
-    tables.set_timer(tables.now + sending.LOOK_AGAIN_S, retry)
+    tables.set_timer(tables.now + sending.RECHECK_INTERVAL_S, retry)
 
 
 def _release_grant(tables: Tables, trial: Trial) -> None:
@@ -137,7 +148,7 @@
     """
     trial.stage = Stage.IDLE
     trial.claim = next(tables.ids)
-    tables.out.append(TrialUnused(trial.wanted))
+    tables.out.append(ReleaseTrialClaim(trial.last_claim))
 
 
 def _mark_running(
@@ -168,9 +179,9 @@
             _reuse_grant(tables, trial, request)
         return
     request.is_trial = False
-    if msg.outcome is Outcome.ANSWERED and ended.is_good(msg.answer):
+    if msg.outcome is Outcome.ANSWERED and attempt_end.is_good(msg.answer):
         if not request.done:
-            starting.start(tables, request)
+            first_sends.start(tables, request)
         return
     _give_up_request(tables, request)
     if trial is None or trial.stage is not Stage.RUNNING:
@@ -197,12 +208,12 @@
     for leg in request.legs:
         if leg.is_open:
             leg.give_up()
-    completion.look(tables, request)
+    completion.check(tables, request)
 
 
 def _schedule_judgement(tables: Tables, trial: Trial, attempt: Attempt) -> None:
     judge = partial(_judge, tables, trial, attempt)
-    tables.set_timer(tables.now + evidence.TOGETHER_S, judge)
+    tables.set_timer(tables.now + evidence.COMMON_CAUSE_S, judge)
 
 
 def _judge(tables: Tables, trial: Trial, attempt: Attempt) -> None:
@@ -210,7 +221,7 @@
     if trial.stage is not Stage.JUDGED:
         return
     key = attempt.searcher.key
-    end = tables.possible_ends.get(key)
+    end = tables.possible_crashes.get(key)
     if end is not None and not end.ended:
         _schedule_judgement(tables, trial, attempt)
         return
@@ -233,7 +244,7 @@
         for request in trial.held:
             if request.is_held and not request.done:
                 request.is_held = False
-                starting.start(tables, request)
+                first_sends.start(tables, request)
 
 
 def _reject_held(tables: Tables, trial: Trial) -> None:
--- a/greengagemoor/serving/entry.py
+++ b/greengagemoor/serving/entry.py
@@ -18,10 +18,10 @@
 from greengagemoor.control.messages import Send
 from greengagemoor.errors import DocumentError
 from greengagemoor.feed import messages as feed
-from greengagemoor.forward import partmessages as parts
-from greengagemoor.forward.entrydecider import EntryDecider
+from greengagemoor.forward import part_messages as parts
+from greengagemoor.forward.entry_decider import EntryDecider
 from greengagemoor.forward.messages import (
-    AnswerLeft,
+    AnswerWritten,
     Arrived,
     AttemptEnded,
     CallerGone,
@@ -297,7 +297,7 @@
         if req is not None:
             self._reply(req, self._dialect.write_answer(msg))
         if msg.merged is not None:
-            self._ticker.put(AnswerLeft(self.clock.now() - msg.due_at))
+            self._ticker.put(AnswerWritten(self.clock.now() - msg.due_at))
         self._metrics.note(msg)
         self._request_log.note(self.clock.now(), msg, self._view.number)
 
--- a/greengagemoor/serving/peers.py
+++ b/greengagemoor/serving/peers.py
@@ -11,7 +11,7 @@
 from greengagemoor.aio.requests import HttpRequest
 from greengagemoor.control.messages import Received, Send
 from greengagemoor.feed.messages import LinkDown, LinkUp
-from greengagemoor.forward.partmessages import (
+from greengagemoor.forward.part_messages import (
     AskPart,
     FromPeer,
     PartClosed,
--- a/greengagemoor/wire/codec.py
+++ b/greengagemoor/wire/codec.py
@@ -27,7 +27,7 @@
     "greengagemoor.control.messages",
     "greengagemoor.control.commands",
     "greengagemoor.feed.messages",
-    "greengagemoor.forward.partmessages",
+    "greengagemoor.forward.part_messages",
     "greengagemoor.membership.messages",
     "greengagemoor.membership.rows",
     "greengagemoor.backends",
--- a/tests/test_bench/test_experiment.py
+++ b/tests/test_bench/test_experiment.py
@@ -12,7 +12,7 @@
     run_variant,
 )
 from bench.gathers import Figures
-from greengagemoor.forward import choosing
+from greengagemoor.forward import selection
 
 
 def figures(credit, owed=100):
@@ -48,13 +48,13 @@
         assert after == before
 
     def test_restores_constants_after_an_exception(self):
-        value = choosing.NOISE
+        value = selection.COST_JITTER
         with (
             pytest.raises(KeyError),
-            override_constants([(choosing, "NOISE", 0.0)]),
+            override_constants([(selection, "COST_JITTER", 0.0)]),
         ):
             raise KeyError
-        assert value == choosing.NOISE
+        assert value == selection.COST_JITTER
 
     def test_same_seed_gives_the_same_figures(self):
         first, second = (
--- a/tests/test_feed/test_shares.py
+++ b/tests/test_feed/test_shares.py
@@ -126,7 +126,7 @@
 
 def total_second_sends(fleet):
     """Returns the second sends allowed to all entries together."""
-    return sum(t.policy.retry_slack / t.sharers for t in fleet.tables())
+    return sum(t.policy.retry_slack / t.sharing_entries for t in fleet.tables())
 
 
 def total_connections(fleet):
--- a/tests/test_forward/helpers.py
+++ b/tests/test_forward/helpers.py
@@ -49,7 +49,7 @@
 
 
 class Bench:
-    """Steps a decider and collects its output in ``said``."""
+    """Steps a decider and collects its output in ``outputs``."""
 
     def __init__(self, services=1, searchers=3, cap=40, **policy):
         self.now = 100.0
@@ -59,7 +59,7 @@
         names = [f"s{i}" for i in range(services)]
         rules = {name: ServiceRules(name, cap) for name in names}
         self.decider.set_routes(RouteTable(1, (), rules, LIMITS))
-        self.said = []
+        self.outputs = []
         self.tokens = 0
         for name in names:
             for i in range(searchers):
@@ -83,7 +83,7 @@
         """Advances the clock, then ticks; returns the output."""
         self.now += after
         out = self.decider.step(self.now, msgs)
-        self.said += out
+        self.outputs += out
         return out
 
     def pass_time(self, seconds, tick=0.005):
--- a/tests/test_forward/test_coldstart.py
+++ b/tests/test_forward/test_cold_start.py
@@ -67,13 +67,15 @@
 
     def send_from_all(self):
         """Sends from each entry that may; no send is answered."""
-        from greengagemoor.forward import choosing
+        from greengagemoor.forward import selection
 
         for decider in self.entries.values():
             decider.step(self.now, ())
             (searcher,) = decider.tables.by_service["s0"]
-            usable = choosing.is_usable(decider.tables, searcher)
-            if usable and choosing.coldstart.has_turn(decider.tables, searcher):
+            usable = selection.is_usable(decider.tables, searcher)
+            if usable and selection.cold_start.is_within_rate(
+                decider.tables, searcher
+            ):
                 searcher.sent_at = self.now
                 self.note(self.now + self.rng.uniform(0.0, 0.05))
 
--- a/tests/test_forward/test_decider.py
+++ b/tests/test_forward/test_decider.py
@@ -57,7 +57,7 @@
         """
         bench = Bench(retry_slack=10.0, retry_ratio=0.0)
         bench.arrive(single())
-        (first,) = starts(bench.said)
+        (first,) = starts(bench.outputs)
         before = bench.decider.gauges()["least_budget_left"]
         bench.end(first, Outcome.BROKEN, stale=True)
         assert bench.decider.gauges()["least_budget_left"] == before - 1
--- a/tests/test_forward/test_evidence.py
+++ b/tests/test_forward/test_evidence.py
@@ -146,7 +146,7 @@
         bench.step(SuspectsLearnt((other,)))
         bench.answer(sent[1])
         bench.pass_time(2 * REPORT_S)
-        (seen,) = [x for x in bench.said if isinstance(x, SuspectsSeen)]
+        (seen,) = [x for x in bench.outputs if isinstance(x, SuspectsSeen)]
         assert seen.rows[0].epoch == 1
 
     def test_each_searcher_is_probed_once(self):
@@ -157,5 +157,5 @@
         ]
         for one in sends:
             bench.end(one, Outcome.BROKEN)
-        probes = [m for m in bench.said if isinstance(m, ProbeSearcher)]
+        probes = [m for m in bench.outputs if isinstance(m, ProbeSearcher)]
         assert len(probes) == 1
--- a/tests/test_forward/test_load.py
+++ b/tests/test_forward/test_load.py
@@ -7,7 +7,7 @@
 
 from bench.gather_model import SHEETS
 from bench.gathers import Run
-from greengagemoor.forward import choosing, leaving, timing
+from greengagemoor.forward import answer_delay, selection, timing
 
 SECONDS = 16.0
 SMALL = attrs.evolve(
@@ -40,8 +40,8 @@
         only, and the measured slowness decays in between.
         """
         now = share_of_credit()
-        monkeypatch.setattr(timing, "MEMORY_S", 1e9)
-        monkeypatch.setattr(choosing, "RELAX_S", 4.0)
+        monkeypatch.setattr(timing, "SMOOTHING_S", 1e9)
+        monkeypatch.setattr(selection, "DECAY_S", 4.0)
         before = share_of_credit(hedge_medians=100.0)
         assert now > 0.94
         assert now > before + 0.02
@@ -87,13 +87,13 @@
             return sum(one.credit / one.owed for one in runs) / len(runs)
 
         now = credit()
-        own_queue = choosing._queue
+        own_queue = selection._queue
 
         def queue_with_reported_load(row):
             queue = own_queue(row)
             return queue + 1.2 * row.others / max(1, row.slots)
 
-        monkeypatch.setattr(choosing, "_queue", queue_with_reported_load)
+        monkeypatch.setattr(selection, "_queue", queue_with_reported_load)
         assert now > credit()
 
 
@@ -113,7 +113,7 @@
 
     def test_answers_are_written_in_time(self, monkeypatch):
         figures = Run(self.BUSY, 0.15, seed=1).play(SECONDS)
-        monkeypatch.setattr(leaving, "MAX_SHARE_OF_OBJECTIVE", 0.0)
+        monkeypatch.setattr(answer_delay, "MAX_SHARE_OF_OBJECTIVE", 0.0)
         before = Run(self.BUSY, 0.15, seed=1).play(SECONDS)
         whole = Run(self.SHEET, 0.15, seed=1).play(SECONDS)
         assert figures.credit > before.credit
--- a/tests/test_forward/test_parts.py
+++ b/tests/test_forward/test_parts.py
@@ -17,7 +17,7 @@
     SuspectsLearnt,
 )
 from greengagemoor.forward import messages as m
-from greengagemoor.forward import partmessages as p
+from greengagemoor.forward import part_messages as p
 from greengagemoor.forward.decider import ForwardDecider
 from greengagemoor.forward.messages import Ending, Outcome
 from greengagemoor.forward.policy import Policy
@@ -70,7 +70,7 @@
         decider.step(self.now - 60.0, ())
         decider.tables.link_bytes_per_s = link
         decider.tables.answer_bytes[ROUTE.name] = BYTES
-        decider.tables.takes_parts = True
+        decider.tables.accepts_parts = True
         rows = [
             SearcherRow(
                 f"{n}.{i}", n, f"{n}.{i}:1", "dc1", SearcherState.READY, 1, 5, 0
@@ -321,7 +321,7 @@
         """Guards against parts at an entry without a list of evacuations."""
         fleet = Fleet()
         for name in ("e1", "e2"):
-            fleet.entries[name].tables.takes_parts = False
+            fleet.entries[name].tables.accepts_parts = False
         fleet.ask()
         fleet.run(0.1)
         assert fleet.answers[0].ending is Ending.ANSWERED
@@ -336,7 +336,7 @@
             while budget.may_take(fleet.now):
                 budget.count(fleet.now)
         for name in ("e1", "e2"):
-            fleet.entries[name].tables.takes_parts = False
+            fleet.entries[name].tables.accepts_parts = False
         fleet.ask()
         fleet.run(0.1)
         assert fleet.answers[0].ending is Ending.ANSWERED
--- a/tests/test_forward/test_proof.py
+++ b/tests/test_forward/test_retry_deferral.py
@@ -64,7 +64,7 @@
         sent = starts(bench.arrive(gather(2, least=1.0)))
         assert [one.searcher_id for one in sent] == ["s1.0"]
         bench.end(sent[0], Outcome.BROKEN)
-        (first, *_) = starts(bench.said)
+        (first, *_) = starts(bench.outputs)
         assert not starts(bench.answer(first))
         out = bench.pass_time(1.0)
         assert [end.ending for end in answers(out)] == [Ending.NO_ANSWER]
@@ -75,7 +75,7 @@
         route = gather(3, least=0.6)
         sent = starts(bench.arrive(route))
         bench.end(sent[0], Outcome.BROKEN)
-        (first, *_) = starts(bench.said)
+        (first, *_) = starts(bench.outputs)
         bench.answer(first)
         out = bench.answer(sent[1]) + bench.pass_time(0.05)
         assert "s0.0" in {one.searcher_id for one in starts(out)}
--- a/tests/test_forward/test_trials.py
+++ b/tests/test_forward/test_trials.py
@@ -32,11 +32,11 @@
         return self.arrive(route, fingerprint=b"f")
 
     def decide(self, verdict=ClaimVerdict.GRANTED):
-        wanted = [msg for msg in self.said if isinstance(msg, m.TrialWanted)]
-        return self.step(m.TrialDecided(wanted[-1], verdict))
+        wanted = [msg for msg in self.outputs if isinstance(msg, m.ClaimTrial)]
+        return self.step(m.TrialVerdict(wanted[-1], verdict))
 
     def output(self, kind):
-        return [msg for msg in self.said if isinstance(msg, kind)]
+        return [msg for msg in self.outputs if isinstance(msg, kind)]
 
     @property
     def standing(self):
@@ -49,7 +49,7 @@
     def test_nothing_is_sent_before_the_grant(self):
         bench = TrialBench()
         assert not starts(bench.ask())
-        assert len(bench.output(m.TrialWanted)) == 1
+        assert len(bench.output(m.ClaimTrial)) == 1
 
     def test_one_searcher_gets_the_trial(self):
         bench = TrialBench()
@@ -123,7 +123,7 @@
         (trial,) = starts(bench.decide())
         (again,) = starts(bench.end(trial, outcome))
         assert again.searcher_id != trial.searcher_id
-        assert len(bench.output(m.TrialWanted)) == 1
+        assert len(bench.output(m.ClaimTrial)) == 1
 
     def test_caller_that_leaves_does_not_end_the_trial(self):
         bench = TrialBench()
@@ -149,7 +149,7 @@
         bench.ask()
         bench.step(m.CallerGone(bench.tokens))
         assert not starts(bench.decide())
-        assert len(bench.output(m.TrialUnused)) == 1
+        assert len(bench.output(m.ReleaseTrialClaim)) == 1
 
     def test_grant_is_released_if_caller_left_before_the_run(self):
         bench = TrialBench()
@@ -157,14 +157,14 @@
         (trial,) = starts(bench.decide())
         bench.step(m.CallerGone(bench.tokens))
         bench.end(trial, Outcome.NOT_SENT)
-        assert len(bench.output(m.TrialUnused)) == 1
+        assert len(bench.output(m.ReleaseTrialClaim)) == 1
 
     def test_late_grant_is_released(self):
         bench = TrialBench()
         bench.ask()
         bench.step(SuspectsLearnt((Suspect(b"f", epoch=1),)))
         bench.decide()
-        assert len(bench.output(m.TrialUnused)) == 1
+        assert len(bench.output(m.ReleaseTrialClaim)) == 1
 
     def test_grant_without_a_free_place_is_released(self):
         bench = TrialBench(cap=10)
@@ -173,15 +173,15 @@
         bench.ask()
         assert not starts(bench.decide())
         bench.pass_time(TRIAL_VALID_S + 0.1, tick=0.05)
-        assert bench.output(m.TrialUnused)
+        assert bench.output(m.ReleaseTrialClaim)
 
     def test_trial_of_another_entry_is_waited_for(self):
         bench = TrialBench()
         bench.ask()
         bench.decide(ClaimVerdict.IN_PROGRESS)
         bench.pass_time(0.2)
-        assert len(bench.output(m.TrialWanted)) == 2
-        assert {msg.number for msg in bench.output(m.TrialWanted)} == {1}
+        assert len(bench.output(m.ClaimTrial)) == 2
+        assert {msg.number for msg in bench.output(m.ClaimTrial)} == {1}
 
     def test_held_request_ends_when_its_answer_is_due(self):
         bench = TrialBench()
