--- a/bench/crashes/fleet.py
+++ b/bench/crashes/fleet.py
@@ -57,7 +57,7 @@
         self.events = []
         self.ids = count(1)
         self.ledger = Ledger()
-        self.ledger.advance(self.now)
+        self.ledger.advance_time(self.now)
         self.cut_links = set()
         self.harmful = set()
         self.ends = Counter()
@@ -145,7 +145,7 @@
         if process is None or frozenset((sender, msg.to)) in self.cut_links:
             return
         req = msg.payload
-        self.ledger.advance(self.now)
+        self.ledger.advance_time(self.now)
         if req.kind is OpKind.OUTCOME:
             self.ledger.record(req.command)
             reply = OpReply(req.op_id, Code.ACCEPTED)
--- a/bench/crashes/nodes.py
+++ b/bench/crashes/nodes.py
@@ -5,7 +5,7 @@
 import random
 from functools import partial
 
-from greengagemoor.control.messages import NumberedAccepted, Send
+from greengagemoor.control.messages import NumberedDocumentAccepted, Send
 from greengagemoor.feed import messages as feed
 from greengagemoor.feed.hub import Hub
 from greengagemoor.feed.timing import Timing
@@ -129,7 +129,7 @@
         self.decider.suspects.begin_with(self.disk.get("suspects", ()))
         names = frozenset(self.fleet.control_names) - {self.name}
         self.decider.set_peers(tuple(sorted(self.fleet.control_names)), names)
-        self.put(NumberedAccepted(1, b"doc"))
+        self.put(NumberedDocumentAccepted(1, b"doc"))
         self.fleet.at(
             self.fleet.now + SAVE_INTERVAL_S,
             partial(self.save_state, self.generation),
--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -327,21 +327,22 @@
     Mutant(
         "joining: told who leads",
         "control/joining.py",
-        "    meet(state, {m.instance: m.address for m in msg.members})\n",
+        "    add_contacts(state, {m.instance: m.address for m in "
+        "msg.members})\n",
         "",
         (JOINING,),
     ),
     Mutant(
         "joining: changed settings arrive",
         "control/decider.py",
-        "            joining.take_seeds(state, msg)",
+        "            joining.replace_peers(state, msg)",
         "            pass",
         (JOINING,),
     ),
     Mutant(
         "joining: whoever sends what members send is asked",
         "control/decider.py",
-        "            self.meet({msg.sender: msg.address})",
+        "            self.add_contacts({msg.sender: msg.address})",
         "            pass",
         (JOINING + "::TestSettingsNameOnlyItself",),
     ),
--- a/bench/mutants_of_places.py
+++ b/bench/mutants_of_places.py
@@ -12,14 +12,14 @@
 MUTANTS = (
     Mutant(
         "evacuations: a late copy is void",
-        "control/evacuationtable.py",
+        "control/evacuation_table.py",
         "command.active != is_active and command.replaces != number",
         "False",
         (CONTROL,),
     ),
     Mutant(
         "evacuations: an order that changes nothing has a number",
-        "control/evacuationtable.py",
+        "control/evacuation_table.py",
         "            command.data_centre, number + 1, command.active\n",
         "            command.data_centre,\n"
         "            number + (command.active != is_active),\n"
@@ -28,7 +28,7 @@
     ),
     Mutant(
         "evacuations: kept in snapshots",
-        "control/machine.py",
+        "control/replicated_state.py",
         "        parts = (self.numbered, self.evacuations)\n",
         "        parts = (self.numbered,)\n",
         (CONTROL,),
--- a/greengagemoor/claims.py
+++ b/greengagemoor/claims.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor.codes import Code
-from greengagemoor.control.client import Ask
+from greengagemoor.control.client import OperationRequest
 from greengagemoor.control.commands import Claim, RecordOutcome
 from greengagemoor.control.messages import OpKind
 from greengagemoor.query.messages import (
@@ -54,7 +54,9 @@
     def __init__(self):
         self._claim_ids: dict[int, str] = {}
 
-    def ask(self, me: InstanceRow, now: float, msg: ClaimWanted) -> Ask:
+    def ask(
+        self, me: InstanceRow, now: float, msg: ClaimWanted
+    ) -> OperationRequest:
         """Returns the operation that claims a request.
 
         The claim id identifies this claim of this process: only its holder
@@ -76,9 +78,11 @@
             request_id=msg.request_id,
             send_before=now + CLAIM_VALID_S,
         )
-        return Ask(token, OpKind.CLAIM, now + CLAIM_WAIT_S, command)
+        return OperationRequest(
+            token, OpKind.CLAIM, now + CLAIM_WAIT_S, command
+        )
 
-    def record(self, now: float, msg: OutcomeKnown) -> Ask | None:
+    def record(self, now: float, msg: OutcomeKnown) -> OperationRequest | None:
         """Returns the operation that records an outcome.
 
         None if this process has no claim for the request.
@@ -95,7 +99,9 @@
             time=now,
         )
         deadline = now + OUTCOME_WAIT_S
-        return Ask(OutcomeToken(), OpKind.OUTCOME, deadline, command)
+        return OperationRequest(
+            OutcomeToken(), OpKind.OUTCOME, deadline, command
+        )
 
     def decided(self, done: Done) -> ClaimDecided:
         """Returns the result of a claim for the query decider."""
@@ -109,7 +115,7 @@
             outcome=done.reply.text,
         )
 
-    def give_back(self, now: float, done: Done) -> Ask | None:
+    def give_back(self, now: float, done: Done) -> OperationRequest | None:
         """Returns the operation that releases a claim that was not granted.
 
         A claim that was not answered in time may still be granted later;
@@ -119,7 +125,7 @@
         token: ClaimToken = done.token
         if _verdict(done) is ClaimVerdict.GRANTED:
             return None
-        if not done.maybe:
+        if not done.possibly_accepted:
             self._claim_ids.pop(token.token, None)
             return None
         released = OutcomeKnown(
--- a/greengagemoor/control/client.py
+++ b/greengagemoor/control/client.py
@@ -30,7 +30,7 @@
 
 
 @values.frozen
-class Ask:
+class OperationRequest:
     """Requests one operation.
 
     Attributes:
@@ -48,22 +48,22 @@
 
 @values.frozen
 class Done:
-    """The result of an ``Ask``.
+    """The result of an ``OperationRequest``.
 
     Attributes:
-        maybe: whether a leader may have accepted the operation although no
-            definite reply came.
+        possibly_accepted: whether a leader may have accepted the operation
+            although no definite reply came.
     """
 
     token: object
     kind: OpKind
     reply: OpReply
-    maybe: bool = False
+    possibly_accepted: bool = False
 
 
 @attrs.define(eq=False, repr=False)
 class _PendingOperation:
-    ask: Ask
+    request: OperationRequest
     op_id: int
     target: str = ""
     resend_at: float = 0.0
@@ -94,10 +94,10 @@
         self._ids = count(first_id)
 
     def step(self, now: float, msgs: Iterable[object]) -> list:
-        """Processes one tick's ``Ask`` messages and ``Received`` replies."""
+        """Processes ``OperationRequest`` messages and ``Received`` replies."""
         out: list = []
         for msg in msgs:
-            if isinstance(msg, Ask):
+            if isinstance(msg, OperationRequest):
                 pending = _PendingOperation(msg, next(self._ids), resend_at=now)
                 self._pending[pending.op_id] = pending
             elif isinstance(msg, Received):
@@ -114,7 +114,10 @@
     def next_wake(self) -> float | None:
         """Returns when the next resend or deadline is due, None if idle."""
         return min(
-            (min(p.resend_at, p.ask.deadline) for p in self._pending.values()),
+            (
+                min(p.resend_at, p.request.deadline)
+                for p in self._pending.values()
+            ),
             default=None,
         )
 
@@ -130,13 +133,14 @@
             pending.resend_at = now + RETRY_DELAY_S
             self._leader = ""
         elif (
-            reply.code == Code.CONFLICT and pending.ask.kind is OpKind.EVACUATE
+            reply.code == Code.CONFLICT
+            and pending.request.kind is OpKind.EVACUATE
         ):
             self._resubmit(now, pending, reply.version)
         else:
             self._leader = msg.sender
             del self._pending[reply.op_id]
-            out.append(Done(pending.ask.token, pending.ask.kind, reply))
+            out.append(Done(pending.request.token, pending.request.kind, reply))
 
     def _resubmit(
         self, now: float, pending: _PendingOperation, number: int
@@ -146,8 +150,8 @@
         The operator still waits for it. Another command that was committed
         first, or an outdated number at this instance, does not cancel it.
         """
-        command = attrs.evolve(pending.ask.command, replaces=number)
-        pending.ask = attrs.evolve(pending.ask, command=command)
+        command = attrs.evolve(pending.request.command, replaces=number)
+        pending.request = attrs.evolve(pending.request, command=command)
         pending.unanswered_sends = 0
         pending.resend_at = now
 
@@ -167,7 +171,7 @@
     def _send_or_expire(
         self, now: float, pending: _PendingOperation, out: list
     ) -> None:
-        if now >= pending.ask.deadline:
+        if now >= pending.request.deadline:
             del self._pending[pending.op_id]
             out.append(self._expire(pending))
         elif now >= pending.resend_at and self.targets:
@@ -185,7 +189,7 @@
         )
         pending.unanswered_sends += 1
         pending.resend_at = now + RESEND_AFTER_S
-        ask = pending.ask
+        ask = pending.request
         request = OpRequest(
             op_id=pending.op_id,
             kind=ask.kind,
@@ -202,5 +206,8 @@
         code = Code.APPLY_UNKNOWN if possibly_accepted else Code.NOT_ACCEPTED
         reply = OpReply(pending.op_id, code)
         return Done(
-            pending.ask.token, pending.ask.kind, reply, maybe=possibly_accepted
+            pending.request.token,
+            pending.request.kind,
+            reply,
+            possibly_accepted=possibly_accepted,
         )
--- a/greengagemoor/control/decider.py
+++ b/greengagemoor/control/decider.py
@@ -13,14 +13,14 @@
     status,
 )
 from greengagemoor.control import messages as m
-from greengagemoor.control.joinmessages import SeedsChanged
-from greengagemoor.control.state import Role, State, Timing
-from greengagemoor.control.writes import (
-    Held,
+from greengagemoor.control.disk_writes import (
+    AwaitingSync,
     flush,
-    note_synced,
+    mark_synced,
     release,
 )
+from greengagemoor.control.join_messages import SeedsChanged
+from greengagemoor.control.state import Role, State, Timing
 
 if TYPE_CHECKING:
     import random
@@ -34,10 +34,10 @@
 
     Input messages: ``Recovered`` once and first, then ``Received``,
     ``Persisted``, ``PersistFailed`` and ``SeedsChanged``. Output messages:
-    ``Send``, ``Persist``, ``DocumentAccepted``, ``NumberedAccepted``,
-    ``EvacuationsAccepted``, ``Confirmed`` and the notices of ``notices``. After
-    ``PersistFailed`` it sends nothing more: writes may be lost, and only a
-    restart shows which are durable.
+    ``Send``, ``Persist``, ``DocumentAccepted``, ``NumberedDocumentAccepted``,
+    ``EvacuationsAccepted``, ``VersionConfirmed`` and the notices of
+    ``notices``. After ``PersistFailed`` it sends nothing more: writes may be
+    lost, and only a restart shows which are durable.
     """
 
     def __init__(
@@ -84,8 +84,8 @@
         joining.tick(state)
         members.tick(state)
         self._run_leader_tick()
-        operations.finish(state)
-        members.tell_changes(state)
+        operations.send_results(state)
+        members.report_changes(state)
         flush(state)
         self._release(release(state))
         return state.out
@@ -96,7 +96,7 @@
             return
         if state.broadcast_due or state.now >= state.heartbeat_at:
             replication.broadcast(state)
-        operations.confirm(state)
+        operations.answer_confirmed_reads(state)
 
     def next_wake(self) -> float | None:
         """Returns when a tick is due without a message, None for never."""
@@ -106,23 +106,23 @@
         if state.role is Role.LEADER:
             return state.now if state.broadcast_due else state.heartbeat_at
         if state.role is Role.IDLE:
-            return state.joining.ask_at
-        if state.joining.since is not None:
-            return min(state.joining.ask_at, state.election_at)
+            return state.joining.next_request_at
+        if state.joining.waiting_since is not None:
+            return min(state.joining.next_request_at, state.election_at)
         return state.election_at
 
-    def meet(self, contacts: dict[str, str]) -> None:
+    def add_contacts(self, contacts: dict[str, str]) -> None:
         """Adds peer addresses of control instances learnt from gossip.
 
         Args:
             contacts: addresses by instance.
         """
-        joining.meet(self.state, contacts)
+        joining.add_contacts(self.state, contacts)
 
     @property
-    def is_outside(self) -> bool:
+    def is_joining(self) -> bool:
         """Whether this member is asking to join a group."""
-        return self.state.joining.since is not None
+        return self.state.joining.waiting_since is not None
 
     def contacts(self) -> dict[str, str]:
         """Returns peer addresses of control instances, by instance.
@@ -130,7 +130,7 @@
         In a group, those of its members; outside one, those of every
         instance that may know a group.
         """
-        if self.is_outside:
+        if self.is_joining:
             return joining.contacts(self.state)
         return {m.instance: m.address for m in self.state.members.values()}
 
@@ -145,12 +145,12 @@
             self._record_sender(msg)
             self._receive_payload(msg.sender, msg.payload)
         elif isinstance(msg, m.Persisted):
-            self._release(note_synced(state, msg.op))
+            self._release(mark_synced(state, msg.op))
             replication.commit_by_quorum(state)
         elif isinstance(msg, m.Recovered):
             self._recover(msg)
         elif isinstance(msg, SeedsChanged):
-            joining.take_seeds(state, msg)
+            joining.replace_peers(state, msg)
 
     def _record_sender(self, msg: m.Received) -> None:
         """Outside a group, records the address of a sender that is a member.
@@ -160,8 +160,8 @@
         can reach, as its settings may name only itself and removed machines.
         """
         from_member = type(msg.payload) in _MEMBER_HANDLERS
-        if self.is_outside and from_member and msg.address:
-            self.meet({msg.sender: msg.address})
+        if self.is_joining and from_member and msg.address:
+            self.add_contacts({msg.sender: msg.address})
 
     def _receive_payload(self, sender: str, payload: object) -> None:
         state = self.state
@@ -175,18 +175,18 @@
             if group_accepted and payload.target == state.member_id:
                 handler(state, payload)
         elif isinstance(payload, m.OpRequest):
-            operations.take(state, sender, payload)
+            operations.handle_request(state, sender, payload)
         elif isinstance(payload, m.JoinRequest):
-            members.take_request(state, payload)
+            members.handle_join_request(state, payload)
         elif isinstance(payload, m.JoinReply):
-            joining.take_reply(state, sender, payload)
+            joining.handle_join_reply(state, sender, payload)
 
-    def _release(self, items: list[Held]) -> None:
+    def _release(self, items: list[AwaitingSync]) -> None:
         for held in items:
             if held.send is not None:
                 self.state.out.append(held.send)
             else:
-                election.take_own_vote(self.state, held.vote_term)
+                election.count_own_vote(self.state, held.vote_term)
 
     def _recover(self, msg: m.Recovered) -> None:
         state = self.state
@@ -198,14 +198,14 @@
         if not state.group:
             return
         if msg.snapshot is not None:
-            replication.restore(state, msg.snapshot)
+            replication.restore_snapshot(state, msg.snapshot)
             documents = state.machine.documents
             if documents.version:
                 state.out.append(
                     m.DocumentAccepted(documents.version, documents.text)
                 )
-        replication.announce_numbered(state)
-        replication.announce_evacuations(state)
+        replication.emit_numbered_document(state)
+        replication.emit_evacuations(state)
         state.log.merge(msg.entries)
         state.set_members("from_disk")
         state.disk.synced_index = state.log.last_index
@@ -215,16 +215,16 @@
 
     def status(self) -> ControlStatus:
         """Returns this member's status for operators."""
-        return status.of(self.state)
+        return status.build_control_status(self.state)
 
 
 _ACCEPTED_OUTSIDE = (m.VoteRequest, m.AppendRequest, m.InstallSnapshot)
 """Messages of any group that a process without one accepts, if they are
 addressed to its current identity."""
 _MEMBER_HANDLERS: dict[type, Callable[[State, object], None]] = {
-    m.VoteRequest: election.take_request,
-    m.VoteReply: election.take_reply,
-    m.AppendRequest: replication.take_append,
-    m.AppendReply: replication.take_reply,
-    m.InstallSnapshot: replication.take_snapshot,
+    m.VoteRequest: election.handle_vote_request,
+    m.VoteReply: election.handle_vote_reply,
+    m.AppendRequest: replication.handle_append,
+    m.AppendReply: replication.handle_append_reply,
+    m.InstallSnapshot: replication.install_snapshot,
 }
--- a/greengagemoor/control/writes.py
+++ b/greengagemoor/control/disk_writes.py
@@ -17,7 +17,7 @@
 
 
 @values.frozen
-class Held:
+class AwaitingSync:
     """A message, or the member's own vote, that must wait for a sync."""
 
     op: int
@@ -26,7 +26,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class Disk:
+class DiskWrites:
     """Writes handed to the disk, and which of them are known to be synced.
 
     Attributes:
@@ -40,42 +40,44 @@
     synced_op: int = 0
     synced_index: int = 0
     unsynced: deque[tuple[int, int]] = attrs.field(factory=deque)
-    hard_changed: bool = False
+    hard_state_changed: bool = False
     entries: list[LogEntry] = attrs.field(factory=list)
     snapshot: Snapshot | None = None
-    held: deque[Held] = attrs.field(factory=deque)
-    new_held: list[Held] = attrs.field(factory=list)
+    awaiting_sync: deque[AwaitingSync] = attrs.field(factory=deque)
+    new_awaiting_sync: list[AwaitingSync] = attrs.field(factory=list)
 
 
 def flush(state: State) -> None:
     """Hands the tick's writes to the disk and queues what waits for them."""
     disk = state.disk
-    if disk.hard_changed or disk.entries or disk.snapshot:
+    if disk.hard_state_changed or disk.entries or disk.snapshot:
         disk.op += 1
         hard = HardState(state.group, state.term, state.voted_for)
         if disk.snapshot:
             # The disk starts a new log after a snapshot. It needs the whole
             # tail, since entries written before may belong to another log.
-            disk.hard_changed = True
+            disk.hard_state_changed = True
             start = disk.snapshot.index + 1
             disk.entries = list(state.log.slice(start, state.log.last_index))
         state.out.append(
             Persist(
                 op=disk.op,
-                hard=hard if disk.hard_changed else None,
+                hard=hard if disk.hard_state_changed else None,
                 entries=tuple(disk.entries),
                 snapshot=disk.snapshot,
             )
         )
         disk.unsynced.append((disk.op, state.log.last_index))
-        disk.hard_changed = False
+        disk.hard_state_changed = False
         disk.entries = []
         disk.snapshot = None
-    disk.held.extend(attrs.evolve(h, op=disk.op) for h in disk.new_held)
-    disk.new_held = []
+    disk.awaiting_sync.extend(
+        attrs.evolve(h, op=disk.op) for h in disk.new_awaiting_sync
+    )
+    disk.new_awaiting_sync = []
 
 
-def note_replaced(state: State, index: int) -> None:
+def mark_replaced(state: State, index: int) -> None:
     """Marks entries from ``index`` on as not synced.
 
     An operation that is not yet synced may have a last index whose entry has
@@ -88,7 +90,7 @@
     )
 
 
-def note_synced(state: State, op: int) -> list[Held]:
+def mark_synced(state: State, op: int) -> list[AwaitingSync]:
     """Records that ``op`` is synced; returns the items that waited for it."""
     disk = state.disk
     disk.synced_op = max(disk.synced_op, op)
@@ -97,10 +99,10 @@
     return release(state)
 
 
-def release(state: State) -> list[Held]:
+def release(state: State) -> list[AwaitingSync]:
     """Removes and returns held items whose sync is done, in order."""
     disk = state.disk
     released = []
-    while disk.held and disk.held[0].op <= disk.synced_op:
-        released.append(disk.held.popleft())
+    while disk.awaiting_sync and disk.awaiting_sync[0].op <= disk.synced_op:
+        released.append(disk.awaiting_sync.popleft())
     return released
--- a/greengagemoor/control/documents.py
+++ b/greengagemoor/control/documents.py
@@ -76,7 +76,7 @@
         _evict_oldest(self._results)
         return result
 
-    def known_result(self, apply_id: str) -> ApplyResult | None:
+    def stored_result(self, apply_id: str) -> ApplyResult | None:
         """Returns the first result of an apply id, if it is still kept."""
         return self._results.get(apply_id)
 
--- a/greengagemoor/control/election.py
+++ b/greengagemoor/control/election.py
@@ -6,9 +6,9 @@
 
 from greengagemoor.codes import Code
 from greengagemoor.control.commands import LogEntry, NoOp
+from greengagemoor.control.disk_writes import AwaitingSync
 from greengagemoor.control.messages import OpReply, Send, VoteReply, VoteRequest
 from greengagemoor.control.state import Progress, Role
-from greengagemoor.control.writes import Held
 
 if TYPE_CHECKING:
     from greengagemoor.control.state import State
@@ -30,7 +30,7 @@
     if term > state.term:
         state.term = term
         state.voted_for = ""
-        state.disk.hard_changed = True
+        state.disk.hard_state_changed = True
     if state.role is Role.LEADER:
         _clear_leader_state(state)
     # A voter may grant its vote before it belongs to the group. Until it
@@ -47,9 +47,9 @@
     so its result is unknown.
     """
     for op in state.pending.values():
-        _reply(state, op.asker, OpReply(op.op_id, Code.APPLY_UNKNOWN))
+        _reply(state, op.requester, OpReply(op.op_id, Code.APPLY_UNKNOWN))
     for read in state.reads:
-        _reply(state, read.asker, OpReply(read.op_id, Code.NOT_LEADER))
+        _reply(state, read.requester, OpReply(read.op_id, Code.NOT_LEADER))
     state.pending.clear()
     state.reads.clear()
     state.progress.clear()
@@ -57,8 +57,8 @@
     state.reset_election()
 
 
-def _reply(state: State, asker: str, reply: OpReply) -> None:
-    state.out.append(Send(asker, reply))
+def _reply(state: State, requester: str, reply: OpReply) -> None:
+    state.out.append(Send(requester, reply))
 
 
 def tick(state: State) -> None:
@@ -78,7 +78,7 @@
     A premature pre-vote does no harm: members that have a leader refuse it.
     """
     state.reset_election()
-    if state.heard_leader_at == float("-inf"):
+    if state.last_leader_contact_at == float("-inf"):
         wait = (state.election_at - state.now) * STARTUP_WAIT_FRACTION
         state.election_at = state.now + wait
 
@@ -111,12 +111,14 @@
     if not pre:
         state.term += 1
         state.voted_for = state.member_id
-        state.disk.hard_changed = True
+        state.disk.hard_state_changed = True
     _request_votes(state)
     if pre:
         _count_vote(state, state.member_id)
     else:
-        state.disk.new_held.append(Held(0, vote_term=state.term))
+        state.disk.new_awaiting_sync.append(
+            AwaitingSync(0, vote_term=state.term)
+        )
 
 
 def _request_votes(state: State) -> None:
@@ -136,13 +138,13 @@
         state.send_after_sync(voter, request)
 
 
-def take_own_vote(state: State, term: int) -> None:
+def count_own_vote(state: State, term: int) -> None:
     """Counts this member's own vote once it is synced."""
     if state.term == term and state.role is Role.CANDIDATE:
         _count_vote(state, state.member_id)
 
 
-def take_request(state: State, msg: VoteRequest) -> None:
+def handle_vote_request(state: State, msg: VoteRequest) -> None:
     """Replies to a request for a vote or a pre-vote."""
     if msg.pre:
         granted = _grants_pre_vote(state, msg)
@@ -152,7 +154,7 @@
         granted = _grants_vote(state, msg)
         if granted:
             state.voted_for = msg.source
-            state.disk.hard_changed = True
+            state.disk.hard_state_changed = True
             state.reset_election()
     reply = VoteReply(
         group=msg.group,
@@ -167,7 +169,9 @@
 
 
 def _grants_pre_vote(state: State, msg: VoteRequest) -> bool:
-    has_leader = state.now - state.heard_leader_at < state.timing.election
+    has_leader = (
+        state.now - state.last_leader_contact_at < state.timing.election
+    )
     leads = state.role is Role.LEADER
     return (
         msg.term > state.term
@@ -191,7 +195,7 @@
     return (msg.last_term, msg.last_index) >= own
 
 
-def take_reply(state: State, msg: VoteReply) -> None:
+def handle_vote_reply(state: State, msg: VoteReply) -> None:
     """Counts a vote if it belongs to the current election."""
     if msg.term > state.term:
         become_follower(state, msg.term)
--- a/greengagemoor/control/evacuationtable.py
+++ b/greengagemoor/control/evacuation_table.py
@@ -25,7 +25,7 @@
         """Returns all rows, including those of ended evacuations."""
         return tuple(self._rows.values())
 
-    def number_of(self, data_centre: str) -> int:
+    def latest_number(self, data_centre: str) -> int:
         """Returns the number of the latest change; 0 if there was none."""
         row = self._rows.get(data_centre)
         return row.number if row is not None else 0
@@ -38,7 +38,7 @@
         delayed command must then conflict, so a command that changes nothing
         also takes a number.
         """
-        number = self.number_of(command.data_centre)
+        number = self.latest_number(command.data_centre)
         row = self._rows.get(command.data_centre)
         is_active = row is not None and row.active
         if command.active != is_active and command.replaces != number:
--- a/greengagemoor/control/evacuations.py
+++ b/greengagemoor/control/evacuations.py
@@ -30,7 +30,7 @@
     def __init__(self):
         self._rows: dict[str, Evacuation] = {}
 
-    def take(self, rows: Iterable[Evacuation]) -> tuple[Evacuation, ...]:
+    def merge(self, rows: Iterable[Evacuation]) -> tuple[Evacuation, ...]:
         """Merges rows, which may come in any order and repeatedly.
 
         Returns:
--- a/greengagemoor/control/founding.py
+++ b/greengagemoor/control/founding.py
@@ -22,7 +22,7 @@
     )
 
 
-def is_due(state: State) -> bool:
+def should_found(state: State) -> bool:
     """Whether this process must found the group now.
 
     An instance that lost its disk looks like a new one. If it founded a second
@@ -48,7 +48,7 @@
     return len(eligible) >= majority and min(eligible) == state.instance
 
 
-def found(state: State) -> None:
+def found_group(state: State) -> None:
     """Writes the first member list, with all founders as voters.
 
     If the founder were the only voter, it would accept changes alone, and the
@@ -63,7 +63,7 @@
     state.group = f"group-{state.rng.getrandbits(64):016x}"
     state.term += 1
     state.voted_for = ""
-    state.disk.hard_changed = True
+    state.disk.hard_state_changed = True
     state.log = Log()
     command = ChangeMembers((own, *others), time=state.now)
     entry = LogEntry(1, state.term, command)
--- a/greengagemoor/control/joining.py
+++ b/greengagemoor/control/joining.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor.control import founding
-from greengagemoor.control.joinmessages import (
+from greengagemoor.control.join_messages import (
     JoinReply,
     JoinRequest,
     SeedsChanged,
 )
 from greengagemoor.control.messages import Send
-from greengagemoor.control.notices import JoinWaiting
+from greengagemoor.control.notices import JoinPending
 from greengagemoor.control.state import Role
 
 if TYPE_CHECKING:
@@ -38,16 +38,16 @@
     """Requests to join while this member needs to, or founds a group."""
     joining = state.joining
     if not _wants_to_join(state):
-        joining.since = None
+        joining.waiting_since = None
         return
-    if joining.since is None:
+    if joining.waiting_since is None:
         _start_joining(state)
-    if founding.is_due(state):
-        founding.found(state)
+    if founding.should_found(state):
+        founding.found_group(state)
         return
-    if state.now >= joining.ask_at:
+    if state.now >= joining.next_request_at:
         _send_requests(state)
-    if state.now >= joining.tell_at:
+    if state.now >= joining.next_notice_at:
         _emit_notice(state)
 
 
@@ -62,16 +62,18 @@
         return False
     if state.role is Role.IDLE:
         return True
-    silent = state.now - max(state.heard_leader_at, state.started_at)
+    silent = state.now - max(state.last_leader_contact_at, state.started_at)
     timing = state.timing
-    return silent > (timing.retire if state.is_voter else timing.election)
+    return silent > (
+        timing.silence_timeout if state.is_voter else timing.election
+    )
 
 
 def _start_joining(state: State) -> None:
     joining = state.joining
-    joining.since = joining.ask_at = state.now
-    joining.tell_at = state.now + FIRST_NOTICE_S
-    joining.asks = 0
+    joining.waiting_since = joining.next_request_at = state.now
+    joining.next_notice_at = state.now + FIRST_NOTICE_S
+    joining.rounds_since_waiting = 0
     joining.leader = ""
     joining.replies.clear()
 
@@ -79,10 +81,10 @@
 def _send_requests(state: State) -> None:
     joining = state.joining
     joining.round += 1
-    joining.asks += 1
-    joining.ask_at = state.now + _request_interval(state)
+    joining.rounds_since_waiting += 1
+    joining.next_request_at = state.now + _request_interval(state)
     asked = _select_targets(state)
-    joining.asked = tuple(asked)
+    joining.last_targets = tuple(asked)
     request = JoinRequest(
         state.member_id, state.instance, state.address, joining.round
     )
@@ -91,7 +93,7 @@
 
 
 def _request_interval(state: State) -> float:
-    doublings = state.joining.asks - ROUNDS_BEFORE_BACKOFF
+    doublings = state.joining.rounds_since_waiting - ROUNDS_BEFORE_BACKOFF
     if doublings <= 0 or founding.may_found(state):
         return state.timing.join
     return state.timing.join * min(2**doublings, MAX_BACKOFF_FACTOR)
@@ -108,8 +110,8 @@
         return {name: known[name] for name in state.founders}
     joining = state.joining
     names = [name for name in known if name != joining.leader]
-    start = joining.turn % max(1, len(names))
-    joining.turn = start + TARGETS_PER_ROUND
+    start = joining.next_target % max(1, len(names))
+    joining.next_target = start + TARGETS_PER_ROUND
     others = (names[start:] + names[:start])[:TARGETS_PER_ROUND]
     preferred = [joining.leader] if joining.leader in known else []
     return {name: known[name] for name in preferred + others}
@@ -124,7 +126,7 @@
     return known
 
 
-def meet(state: State, addresses: dict[str, str]) -> None:
+def add_contacts(state: State, addresses: dict[str, str]) -> None:
     """Records addresses learnt from others, by instance."""
     kept = state.joining.contacts
     for name, address in addresses.items():
@@ -134,35 +136,37 @@
         del kept[next(iter(kept))]
 
 
-def take_seeds(state: State, msg: SeedsChanged) -> None:
+def replace_peers(state: State, msg: SeedsChanged) -> None:
     """Replaces the peers after a change of settings and asks them at once."""
     state.peers = {
         name: address
         for name, address in msg.seeds.items()
         if name != state.instance
     }
-    state.joining.turn = 0
-    state.joining.ask_at = state.now
+    state.joining.next_target = 0
+    state.joining.next_request_at = state.now
 
 
-def take_reply(state: State, sender: str, msg: JoinReply) -> None:
+def handle_join_reply(state: State, sender: str, msg: JoinReply) -> None:
     """Records the members and the leader that a join reply names."""
     joining = state.joining
-    if joining.since is None:
+    if joining.waiting_since is None:
         return
     joining.replies[sender] = msg
-    meet(state, {m.instance: m.address for m in msg.members})
+    add_contacts(state, {m.instance: m.address for m in msg.members})
     if msg.leader:
         joining.leader = msg.leader.partition("#")[0]
 
 
 def _emit_notice(state: State) -> None:
     joining = state.joining
-    age = state.now - joining.since
-    joining.tell_at = state.now + min(
+    age = state.now - joining.waiting_since
+    joining.next_notice_at = state.now + min(
         max(age, FIRST_NOTICE_S), MAX_NOTICE_INTERVAL_S
     )
-    state.out.append(JoinWaiting(joining.asked, _waiting_reason(state), age))
+    state.out.append(
+        JoinPending(joining.last_targets, _waiting_reason(state), age)
+    )
 
 
 def _waiting_reason(state: State) -> str:
--- a/greengagemoor/control/ledger.py
+++ b/greengagemoor/control/ledger.py
@@ -68,7 +68,7 @@
 
     def __init__(self):
         self.time = 0.0
-        self.window = DEFAULT_WINDOW_S
+        self.window_s = DEFAULT_WINDOW_S
         self._closed_before = 0.0
         self._rows: dict[tuple[str, str], ClaimRow] = {}
         self._by_issue_time: list[tuple[float, tuple[str, str]]] = []
@@ -76,10 +76,10 @@
     def __len__(self) -> int:
         return len(self._rows)
 
-    def advance(self, time: float) -> None:
+    def advance_time(self, time: float) -> None:
         """Advances the group's time and trims rows older than the window."""
         self.time = max(self.time, time)
-        oldest = self.time - self.window
+        oldest = self.time - self.window_s
         while self._by_issue_time and self._by_issue_time[0][0] < oldest:
             _, key = heapq.heappop(self._by_issue_time)
             row = self._rows.get(key)
@@ -92,15 +92,15 @@
         When the window grows, rows of ids between the new cutoff and the old
         one may already be trimmed, so these ids stay expired.
         """
-        if window > self.window:
-            cutoff = self.time - self.window
+        if window > self.window_s:
+            cutoff = self.time - self.window_s
             self._closed_before = max(self._closed_before, cutoff)
-        self.window = window
+        self.window_s = window
 
     def claim(self, command: Claim) -> ClaimAnswer:
         """Applies a committed claim; grants an id to one claim at a time."""
         key = (command.caller, command.request_id)
-        oldest = max(self.time - self.window, self._closed_before)
+        oldest = max(self.time - self.window_s, self._closed_before)
         if command.issued_at < oldest:
             return ClaimAnswer(ClaimVerdict.EXPIRED)
         row = self._rows.get(key)
@@ -115,7 +115,7 @@
         return ClaimAnswer(ClaimVerdict.UNKNOWN)
 
     def _grant(self, key: tuple[str, str], command: Claim) -> ClaimAnswer:
-        if command.issued_at > self.time + self.window:
+        if command.issued_at > self.time + self.window_s:
             return ClaimAnswer(ClaimVerdict.UNAVAILABLE)
         self._rows[key] = ClaimRow(
             claim_id=command.claim_id,
@@ -151,14 +151,14 @@
             for (caller, request_id), row in self._rows.items()
         )
         return shape.dump_json(
-            _SavedLedger(self.time, self.window, self._closed_before, rows)
+            _SavedLedger(self.time, self.window_s, self._closed_before, rows)
         )
 
     def load(self, text: str) -> None:
         """Replaces the state with a saved one."""
         saved = shape.parse_json(text, _SavedLedger)
         self.time = saved.time
-        self.window = saved.window
+        self.window_s = saved.window
         self._closed_before = saved.closed_before
         self._rows = {
             (row.caller, row.request_id): ClaimRow(
--- a/greengagemoor/control/members.py
+++ b/greengagemoor/control/members.py
@@ -8,7 +8,7 @@
 
 from greengagemoor.control import election, founding, replication
 from greengagemoor.control.commands import ChangeMembers, Member
-from greengagemoor.control.joinmessages import JoinReply, JoinRequest
+from greengagemoor.control.join_messages import JoinReply, JoinRequest
 from greengagemoor.control.messages import Send
 from greengagemoor.control.notices import MembersChanged
 from greengagemoor.control.state import Joiner, Progress, Role
@@ -54,7 +54,7 @@
             return
 
 
-def take_request(state: State, msg: JoinRequest) -> None:
+def handle_join_request(state: State, msg: JoinRequest) -> None:
     """Replies to a joiner; the leader records it, others forward the request.
 
     The joiner may know only this member, or be unable to reach the leader.
@@ -100,7 +100,7 @@
     joiners = {
         name: joiner.member
         for name, joiner in state.joiners.items()
-        if joiner.asked_at >= oldest
+        if joiner.requested_at >= oldest
         and joiner.member.member_id not in state.members
     }
     state.joiners.clear()
@@ -192,7 +192,7 @@
 
 
 def _remove_silent(state: State) -> _Change | None:
-    """Removes members that have been silent for ``Timing.retire``.
+    """Removes members that have been silent for ``Timing.silence_timeout``.
 
     Learners are removed all at once. A voter whose machine was replaced at
     another address would otherwise remain: after three such replacements in a
@@ -204,7 +204,7 @@
     again on its return. Two are removed, one after the other: five voters
     with two lost tolerate no further loss, the remaining three tolerate one.
     """
-    oldest = state.now - state.timing.retire
+    oldest = state.now - state.timing.silence_timeout
     silent = [
         member
         for member in state.members.values()
@@ -238,12 +238,12 @@
     return ""
 
 
-def tell_changes(state: State) -> None:
+def report_changes(state: State) -> None:
     """Reports a change of this member's member list to operators."""
-    old, new = state.told_members, state.members
+    old, new = state.reported_members, state.members
     if old is new:
         return
-    state.told_members = new
+    state.reported_members = new
     if old == new:
         return
     voters = len(state.voters)
--- a/greengagemoor/control/messages.py
+++ b/greengagemoor/control/messages.py
@@ -12,7 +12,7 @@
 
 from greengagemoor.control.commands import Command, LogEntry, Snapshot
 from greengagemoor.control.evacuations import Evacuation
-from greengagemoor.control.joinmessages import JoinReply, JoinRequest
+from greengagemoor.control.join_messages import JoinReply, JoinRequest
 from greengagemoor.util import values
 
 # Between members of the group. ``source`` and ``target`` are member ids, as an
@@ -255,7 +255,7 @@
 
 
 @values.frozen
-class NumberedAccepted:
+class NumberedDocumentAccepted:
     """This member applied a committed document with an operator's number."""
 
     number: int
@@ -270,7 +270,7 @@
 
 
 @values.frozen
-class Confirmed:
+class VersionConfirmed:
     """A quorum confirmed that ``version`` was current.
 
     Attributes:
--- a/greengagemoor/control/notices.py
+++ b/greengagemoor/control/notices.py
@@ -30,7 +30,7 @@
 
 
 @values.frozen
-class JoinWaiting:
+class JoinPending:
     """This process asks to join a group and has not been admitted yet.
 
     Attributes:
--- a/greengagemoor/control/numbered.py
+++ b/greengagemoor/control/numbered_document.py
@@ -10,7 +10,7 @@
     from greengagemoor.control.commands import PutDocument
 
 
-class Numbered:
+class NumberedDocumentState:
     """The document with the highest number that was ever put.
 
     A lower number is an outdated change. An equal one is a resend, or another
--- a/greengagemoor/control/operations.py
+++ b/greengagemoor/control/operations.py
@@ -11,7 +11,12 @@
 from greengagemoor.control.commands import ApplyDocument
 from greengagemoor.control.documents import ApplyResult
 from greengagemoor.control.ledger import ClaimAnswer
-from greengagemoor.control.messages import Confirmed, OpKind, OpReply, Send
+from greengagemoor.control.messages import (
+    OpKind,
+    OpReply,
+    Send,
+    VersionConfirmed,
+)
 from greengagemoor.control.state import PendingOp, PendingRead, Role
 from greengagemoor.errors import DocumentError
 
@@ -23,7 +28,7 @@
 _READ_KINDS = frozenset({OpKind.READ, OpKind.READ_NUMBERED})
 
 
-def take(state: State, requester: str, req: OpRequest) -> None:
+def handle_request(state: State, requester: str, req: OpRequest) -> None:
     """Handles an operation, or redirects it if this member can't serve it."""
     if not _can_serve(state):
         reply = OpReply(
@@ -71,7 +76,7 @@
     from greengagemoor.document import parse_document
 
     command: ApplyDocument = req.command
-    result = state.machine.documents.known_result(command.apply_id)
+    result = state.machine.documents.stored_result(command.apply_id)
     if result is None:
         try:
             parse_document(command.text)
@@ -122,7 +127,7 @@
     state.broadcast_due = True
 
 
-def finish(state: State) -> None:
+def send_results(state: State) -> None:
     """Sends the results of entries committed in this tick to requesters."""
     for applied in state.results:
         pending = state.pending.pop(applied.entry.index, None)
@@ -145,10 +150,10 @@
         )
     else:
         reply = OpReply(op.op_id, Code.ACCEPTED)
-    state.out.append(Send(op.asker, reply))
+    state.out.append(Send(op.requester, reply))
 
 
-def confirm(state: State) -> None:
+def answer_confirmed_reads(state: State) -> None:
     """Answers reads and reports the version once a quorum answered a round."""
     if not _can_serve(state):
         return
@@ -159,12 +164,12 @@
     confirmed_reads = [read for read in state.reads if read.round <= confirmed]
     state.reads = [read for read in state.reads if read.round > confirmed]
     for read in confirmed_reads:
-        state.out.append(Send(read.asker, _read_reply(state, read)))
+        state.out.append(Send(read.requester, _read_reply(state, read)))
     if state.now >= state.confirm_at:
         state.confirm_at = state.now + state.timing.confirm
         stamp = (state.term, confirmed)
         version = state.machine.documents.version
-        state.out.append(Confirmed(state.group, stamp, version))
+        state.out.append(VersionConfirmed(state.group, stamp, version))
 
 
 def _confirmed_round(state: State) -> int:
--- a/greengagemoor/control/machine.py
+++ b/greengagemoor/control/replicated_state.py
@@ -17,30 +17,30 @@
     SetEvacuation,
 )
 from greengagemoor.control.documents import ApplyResult, Documents
-from greengagemoor.control.evacuationtable import EvacuationTable
+from greengagemoor.control.evacuation_table import EvacuationTable
 from greengagemoor.control.ledger import (
     DEFAULT_WINDOW_S,
     ClaimAnswer,
     Ledger,
 )
-from greengagemoor.control.numbered import Numbered
+from greengagemoor.control.numbered_document import NumberedDocumentState
 
 if TYPE_CHECKING:
     from greengagemoor.control.commands import Command
 
 
-class Machine:
+class ReplicatedState:
     """All replicated state; the same entries give the same state."""
 
     def __init__(self):
         self.documents = Documents()
         self.ledger = Ledger()
-        self.numbered = Numbered()
+        self.numbered = NumberedDocumentState()
         self.evacuations = EvacuationTable()
 
     def apply(self, command: Command) -> ApplyResult | ClaimAnswer | None:
         """Applies one committed command and returns its result, if any."""
-        self.ledger.advance(command.time)
+        self.ledger.advance_time(command.time)
         return self._apply(command)
 
     @singledispatchmethod
--- a/greengagemoor/control/replication.py
+++ b/greengagemoor/control/replication.py
@@ -6,6 +6,7 @@
 
 from greengagemoor.control import election
 from greengagemoor.control.commands import Snapshot
+from greengagemoor.control.disk_writes import mark_replaced
 from greengagemoor.control.log import Log
 from greengagemoor.control.messages import (
     AppendReply,
@@ -13,10 +14,9 @@
     DocumentAccepted,
     EvacuationsAccepted,
     InstallSnapshot,
-    NumberedAccepted,
+    NumberedDocumentAccepted,
 )
 from greengagemoor.control.state import Applied, Role
-from greengagemoor.control.writes import note_replaced
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -25,8 +25,8 @@
     from greengagemoor.control.state import Progress, State
 
 MAX_ENTRIES_PER_APPEND = 256
-SNAPSHOT_EVERY = 1000
-KEPT_BEHIND_SNAPSHOT = 200
+MIN_SNAPSHOT_INTERVAL = 1000
+ENTRIES_KEPT_BEFORE_SNAPSHOT = 200
 
 
 def broadcast(state: State) -> None:
@@ -78,7 +78,7 @@
     state.send(member_id, request)
 
 
-def take_append(state: State, msg: AppendRequest) -> None:
+def handle_append(state: State, msg: AppendRequest) -> None:
     """Stores a leader's entries and acknowledges them once synced."""
     if msg.term < state.term:
         _reply(state, msg, ok=False, match_index=0)
@@ -91,11 +91,11 @@
         return
     new = state.log.merge(msg.entries)
     if new:
-        note_replaced(state, new[0].index)
+        mark_replaced(state, new[0].index)
         state.disk.entries.extend(new)
         state.set_members("from_leader")
     match_index = msg.prev_index + len(msg.entries)
-    advance(state, min(msg.commit, match_index))
+    advance_commit(state, min(msg.commit, match_index))
     _reply(state, msg, ok=True, match_index=match_index)
 
 
@@ -110,9 +110,9 @@
     """
     if adopt_group and not state.group:
         state.group = msg.group
-        state.disk.hard_changed = True
+        state.disk.hard_state_changed = True
     election.become_follower(state, msg.term, msg.source)
-    state.heard_leader_at = state.now
+    state.last_leader_contact_at = state.now
     state.reset_election()
 
 
@@ -156,7 +156,7 @@
     state.send_after_sync(msg.source, reply)
 
 
-def take_snapshot(state: State, msg: InstallSnapshot) -> None:
+def install_snapshot(state: State, msg: InstallSnapshot) -> None:
     """Installs the leader's snapshot, unless this state is as recent."""
     if msg.term < state.term:
         _reply(state, msg, ok=False, match_index=0)
@@ -164,16 +164,16 @@
     _follow(state, msg, adopt_group=True)
     snapshot = msg.snapshot
     if snapshot.index > state.commit:
-        restore(state, snapshot)
-        note_replaced(state, snapshot.index + 1)
+        restore_snapshot(state, snapshot)
+        mark_replaced(state, snapshot.index + 1)
         state.disk.snapshot = snapshot
         _announce_document(state)
-        announce_numbered(state)
-        announce_evacuations(state)
+        emit_numbered_document(state)
+        emit_evacuations(state)
     _reply(state, msg, ok=True, match_index=snapshot.index)
 
 
-def restore(state: State, snapshot: Snapshot) -> None:
+def restore_snapshot(state: State, snapshot: Snapshot) -> None:
     """Sets log and state machine to a snapshot."""
     state.snapshot = snapshot
     state.log = Log(snapshot.index, snapshot.term, snapshot.members)
@@ -183,7 +183,7 @@
     state.set_members("from_snapshot")
 
 
-def take_reply(state: State, msg: AppendReply) -> None:
+def handle_append_reply(state: State, msg: AppendReply) -> None:
     """Updates a member's progress from its acknowledgement."""
     if msg.term > state.term:
         election.become_follower(state, msg.term)
@@ -219,7 +219,7 @@
         return
     index = matches[len(matches) // 2]
     if index > state.commit and state.log.term_at(index) == state.term:
-        advance(state, index)
+        advance_commit(state, index)
         state.broadcast_due = True
 
 
@@ -231,7 +231,7 @@
             yield state.progress[voter].match_index
 
 
-def advance(state: State, commit: int) -> None:
+def advance_commit(state: State, commit: int) -> None:
     """Applies entries up to the new commit index."""
     if commit <= state.commit:
         return
@@ -251,9 +251,9 @@
     if state.machine.documents.version != before:
         _announce_document(state)
     if state.machine.numbered.number != numbered:
-        announce_numbered(state)
+        emit_numbered_document(state)
     if state.machine.evacuations.rows() != evacuations:
-        announce_evacuations(state)
+        emit_evacuations(state)
     if entry.index in state.pending:
         state.results.append(Applied(entry, result))
 
@@ -264,14 +264,16 @@
         state.out.append(DocumentAccepted(documents.version, documents.text))
 
 
-def announce_numbered(state: State) -> None:
+def emit_numbered_document(state: State) -> None:
     """Emits the numbered document within this process, if there is one."""
     numbered = state.machine.numbered
     if numbered.number:
-        state.out.append(NumberedAccepted(numbered.number, numbered.packed))
+        state.out.append(
+            NumberedDocumentAccepted(numbered.number, numbered.packed)
+        )
 
 
-def announce_evacuations(state: State) -> None:
+def emit_evacuations(state: State) -> None:
     """Emits the evacuations within this process, if there are any rows."""
     rows = state.machine.evacuations.rows()
     if rows:
@@ -286,7 +288,7 @@
     stays constant.
     """
     snapshot_index = state.snapshot.index if state.snapshot else 0
-    interval = max(SNAPSHOT_EVERY, len(state.machine.ledger))
+    interval = max(MIN_SNAPSHOT_INTERVAL, len(state.machine.ledger))
     if state.applied - snapshot_index < interval:
         return
     state.snapshot = Snapshot(
@@ -296,4 +298,4 @@
         data=state.machine.save(),
     )
     state.disk.snapshot = state.snapshot
-    state.log.trim(state.applied - KEPT_BEHIND_SNAPSHOT)
+    state.log.trim(state.applied - ENTRIES_KEPT_BEFORE_SNAPSHOT)
--- a/greengagemoor/control/state.py
+++ b/greengagemoor/control/state.py
@@ -8,16 +8,16 @@
 
 import attrs
 
+from greengagemoor.control.disk_writes import AwaitingSync, DiskWrites
 from greengagemoor.control.log import Log
-from greengagemoor.control.machine import Machine
 from greengagemoor.control.messages import Send
-from greengagemoor.control.writes import Disk, Held
+from greengagemoor.control.replicated_state import ReplicatedState
 from greengagemoor.util import values
 
 if TYPE_CHECKING:
     from greengagemoor.control.commands import LogEntry, Member, Snapshot
     from greengagemoor.control.documents import ApplyResult
-    from greengagemoor.control.joinmessages import JoinReply
+    from greengagemoor.control.join_messages import JoinReply
     from greengagemoor.control.ledger import ClaimAnswer
     from greengagemoor.control.messages import OpKind
 
@@ -45,16 +45,16 @@
         election: minimum time without a leader before an election; the
             maximum is twice that.
         join: between rounds of join requests, before any backoff.
-        retire: how long a member must be silent before the leader may remove
-            it, and how long a voter must be without a leader before it asks
-            to join again.
+        silence_timeout: how long a member must be silent before the leader may
+            remove it, and how long a voter must be without a leader before it
+            asks to join again.
     """
 
     heartbeat: float = 0.15
     election: float = 1.0
     join: float = 0.5
     confirm: float = 1.0
-    retire: float = 10.0
+    silence_timeout: float = 10.0
 
 
 @attrs.define(eq=False, repr=False)
@@ -79,7 +79,7 @@
 class PendingOp:
     """An operation in the log whose requester waits for its result."""
 
-    asker: str
+    requester: str
     op_id: int
     kind: OpKind
     term: int
@@ -89,7 +89,7 @@
 class PendingRead:
     """A read that waits until a quorum confirms the leader."""
 
-    asker: str
+    requester: str
     op_id: int
     known_version: int
     round: int
@@ -105,30 +105,31 @@
 
 
 @attrs.define(eq=False, repr=False)
-class Joining:
+class JoinProgress:
     """Progress of a process that asks to join a group.
 
     Attributes:
-        since: when it began to ask; None while it does not need to join.
-        tell_at: when the next ``JoinWaiting`` notice is due.
-        ask_at: when the next round of join requests is due.
+        waiting_since: when it began to ask; None while it does not need to
+            join.
+        next_notice_at: when the next ``JoinPending`` notice is due.
+        next_request_at: when the next round of join requests is due.
         round: rounds of requests since the process started.
-        asks: rounds of requests since ``since``.
-        turn: position of the next target in the list of known instances.
-        asked: instances asked in the last round.
+        rounds_since_waiting: rounds of requests since ``waiting_since``.
+        next_target: position of the next target in the list of known instances.
+        last_targets: instances asked in the last round.
         leader: instance last reported as leader.
         contacts: addresses by instance, learnt from join replies, gossip and
             senders of group messages.
         replies: the last reply of each instance.
     """
 
-    since: float | None = None
-    tell_at: float = 0.0
-    ask_at: float = 0.0
+    waiting_since: float | None = None
+    next_notice_at: float = 0.0
+    next_request_at: float = 0.0
     round: int = 0
-    asks: int = 0
-    turn: int = 0
-    asked: tuple[str, ...] = ()
+    rounds_since_waiting: int = 0
+    next_target: int = 0
+    last_targets: tuple[str, ...] = ()
     leader: str = ""
     contacts: dict[str, str] = attrs.field(factory=dict)
     replies: dict[str, JoinReply] = attrs.field(factory=dict)
@@ -139,7 +140,7 @@
     """A process that asked the leader to be added to the group."""
 
     member: Member
-    asked_at: float
+    requested_at: float
 
 
 @attrs.define(eq=False, repr=False)
@@ -151,7 +152,7 @@
         founders: addresses of the instances with which this one may found a
             group; None if it may not.
         members_reason: why ``members`` last changed, for operators.
-        told_members: the list last reported by ``MembersChanged``.
+        reported_members: the list last reported by ``MembersChanged``.
     """
 
     instance: str
@@ -163,7 +164,7 @@
     founders: dict[str, str] | None = None
     now: float = 0.0
     out: list = attrs.field(factory=list)
-    disk: Disk = attrs.field(factory=Disk)
+    disk: DiskWrites = attrs.field(factory=DiskWrites)
     # Durable.
     group: str = ""
     term: int = 0
@@ -175,15 +176,15 @@
     leader: str = ""
     commit: int = 0
     applied: int = 0
-    machine: Machine = attrs.field(factory=Machine)
+    machine: ReplicatedState = attrs.field(factory=ReplicatedState)
     members: dict[str, Member] = attrs.field(factory=dict)
     members_index: int = 0
     members_reason: str = ""
-    told_members: dict[str, Member] = attrs.field(factory=dict)
-    heard_leader_at: float = float("-inf")
+    reported_members: dict[str, Member] = attrs.field(factory=dict)
+    last_leader_contact_at: float = float("-inf")
     election_at: float = 0.0
     started_at: float = 0.0
-    joining: Joining = attrs.field(factory=Joining)
+    joining: JoinProgress = attrs.field(factory=JoinProgress)
     failure: str = ""
     # Candidate.
     pre_vote: bool = False
@@ -232,8 +233,8 @@
         could lose it after others have counted it: two leaders in one term,
         or an accepted document lost.
         """
-        self.disk.new_held.append(
-            Held(0, send=self._make_send(member_id, payload))
+        self.disk.new_awaiting_sync.append(
+            AwaitingSync(0, send=self._make_send(member_id, payload))
         )
 
     def _make_send(self, member_id: str, payload: object) -> Send:
--- a/greengagemoor/control/status.py
+++ b/greengagemoor/control/status.py
@@ -61,7 +61,7 @@
         }
 
 
-def of(state: State) -> ControlStatus:
+def build_control_status(state: State) -> ControlStatus:
     """Returns the status of one member of the control group."""
     rows = tuple(_member_status(state, x) for x in state.members.values())
     spare = _spare_voters(state, rows)
--- a/greengagemoor/feed/hub.py
+++ b/greengagemoor/feed/hub.py
@@ -8,7 +8,7 @@
 from greengagemoor.control.evacuations import EvacuationView
 from greengagemoor.control.messages import (
     EvacuationsAccepted,
-    NumberedAccepted,
+    NumberedDocumentAccepted,
     Received,
     Send,
 )
@@ -88,8 +88,8 @@
         Args:
             now: seconds of a monotonic clock.
             msgs: ``Announced``, ``Leaving``, ``Received``, ``LinkUp``,
-                ``LinkDown``, ``NumberedAccepted``, ``EvacuationsAccepted``,
-                ``ClearSuspect``.
+                ``LinkDown``, ``NumberedDocumentAccepted``,
+                ``EvacuationsAccepted``, ``ClearSuspect``.
 
         Returns:
             ``Send``, ``AnnouncementTaken``, ``AnnouncementRefused`` and
@@ -207,7 +207,7 @@
             self._linked.discard(msg.name)
             self._subscribed.discard(msg.name)
             self._subscribers.drop(msg.name)
-        elif isinstance(msg, NumberedAccepted):
+        elif isinstance(msg, NumberedDocumentAccepted):
             self._handle_document(msg)
         elif isinstance(msg, EvacuationsAccepted):
             self._handle_evacuations(msg)
@@ -301,14 +301,14 @@
         self._out.append(Send(sender, m.SearcherRows(self._number, True, rows)))
         self._out.append(Send(sender, m.DocumentNumber(self._documents.number)))
 
-    def _handle_document(self, msg: NumberedAccepted) -> None:
+    def _handle_document(self, msg: NumberedDocumentAccepted) -> None:
         if not self._documents.put(msg.number, msg.packed):
             return
         for name in self._subscribers:
             self._out.append(Send(name, m.DocumentNumber(msg.number)))
 
     def _handle_evacuations(self, msg: EvacuationsAccepted) -> None:
-        changed = self._evacuations.take(msg.rows)
+        changed = self._evacuations.merge(msg.rows)
         if not changed:
             return
         message = m.Evacuations(changed)
--- a/greengagemoor/feed/view.py
+++ b/greengagemoor/feed/view.py
@@ -190,7 +190,7 @@
             self._handle_read_reply(payload)
 
     def _merge_evacuations(self, rows: tuple[Evacuation, ...]) -> None:
-        changed = self._evacuations.take(rows)
+        changed = self._evacuations.merge(rows)
         if changed:
             self._out.append(m.EvacuationsLearnt(changed))
 
--- a/greengagemoor/forward/claiming.py
+++ b/greengagemoor/forward/claiming.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor.codes import ClaimVerdict, Code
-from greengagemoor.control.client import Ask, ControlClient, Done
+from greengagemoor.control.client import ControlClient, Done, OperationRequest
 from greengagemoor.control.commands import Claim, RecordOutcome
 from greengagemoor.control.messages import OpKind
 from greengagemoor.forward.messages import (
@@ -83,7 +83,7 @@
             return self._release(now, msg.wanted)
         return msg
 
-    def _claim(self, now: float, msg: ClaimTrial) -> Ask:
+    def _claim(self, now: float, msg: ClaimTrial) -> OperationRequest:
         command = Claim(
             caller=TRIALS_CALLER,
             request_id=_trial_id(msg),
@@ -92,9 +92,11 @@
             valid_for_s=msg.valid_for_s,
             time=now,
         )
-        return Ask(msg, OpKind.CLAIM, now + CLAIM_TIMEOUT_S, command)
+        return OperationRequest(
+            msg, OpKind.CLAIM, now + CLAIM_TIMEOUT_S, command
+        )
 
-    def _release(self, now: float, msg: ClaimTrial) -> Ask:
+    def _release(self, now: float, msg: ClaimTrial) -> OperationRequest:
         command = RecordOutcome(
             caller=TRIALS_CALLER,
             request_id=_trial_id(msg),
@@ -103,7 +105,9 @@
             outcome="",
             time=now,
         )
-        return Ask(None, OpKind.OUTCOME, now + RELEASE_TIMEOUT_S, command)
+        return OperationRequest(
+            None, OpKind.OUTCOME, now + RELEASE_TIMEOUT_S, command
+        )
 
 
 def _trial_id(msg: ClaimTrial) -> str:
--- a/greengagemoor/forward/searchers.py
+++ b/greengagemoor/forward/searchers.py
@@ -107,7 +107,7 @@
     searcher counts them against its connection cap.
     """
     before = tables.evacuated
-    tables.evacuations.take(msg.rows)
+    tables.evacuations.merge(msg.rows)
     tables.evacuated = tables.evacuations.active
     for row in tables.searchers.values():
         if row.data_centre in tables.evacuated - before:
--- a/greengagemoor/membership/decider.py
+++ b/greengagemoor/membership/decider.py
@@ -4,7 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from greengagemoor.control.messages import Confirmed, DocumentAccepted, Received
+from greengagemoor.control.messages import (
+    DocumentAccepted,
+    Received,
+    VersionConfirmed,
+)
 from greengagemoor.membership import (
     addresses,
     announcements,
@@ -140,7 +144,7 @@
     m.Stop: _stop,
     m.Overload: _set_overload,
     m.CurrentRead: documents.take_read,
-    Confirmed: documents.take_confirmed,
+    VersionConfirmed: documents.take_confirmed,
     DocumentAccepted: documents.take_accepted,
     DrainSeen: announcements.take_drain,
 }
--- a/greengagemoor/membership/documents.py
+++ b/greengagemoor/membership/documents.py
@@ -17,7 +17,10 @@
 from greengagemoor.query.messages import ControlReady, DocumentChanged
 
 if TYPE_CHECKING:
-    from greengagemoor.control.messages import Confirmed, DocumentAccepted
+    from greengagemoor.control.messages import (
+        DocumentAccepted,
+        VersionConfirmed,
+    )
     from greengagemoor.document import Document
     from greengagemoor.membership.messages import CurrentRead
     from greengagemoor.membership.state import State
@@ -45,7 +48,7 @@
         state.fresh_at = state.now
 
 
-def take_confirmed(state: State, msg: Confirmed) -> None:
+def take_confirmed(state: State, msg: VersionConfirmed) -> None:
     """Records a confirmation from the control role of this instance."""
     term, round_ = msg.stamp
     _take_freshness(state, Freshness(msg.group, term, round_, msg.version))
--- a/greengagemoor/node.py
+++ b/greengagemoor/node.py
@@ -11,9 +11,9 @@
 from greengagemoor.claims import Claims, ClaimToken, OutcomeToken
 from greengagemoor.codes import Code
 from greengagemoor.control import messages as control
-from greengagemoor.control.client import Ask, ControlClient, Done
+from greengagemoor.control.client import ControlClient, Done, OperationRequest
 from greengagemoor.control.decider import ControlDecider
-from greengagemoor.control.joinmessages import SeedsChanged
+from greengagemoor.control.join_messages import SeedsChanged
 from greengagemoor.control.messages import OpKind, Received, Send
 from greengagemoor.membership import messages as membership
 from greengagemoor.membership.decider import MembershipDecider
@@ -141,8 +141,10 @@
             if f"i:{name}" in table.gone_since
         }
         self.client.targets = sorted((found | self._configured_targets) - gone)
-        if self.control is not None and self.control.is_outside:
-            self.control.meet({n: self._address_of(n) for n in found - gone})
+        if self.control is not None and self.control.is_joining:
+            self.control.add_contacts(
+                {n: self._address_of(n) for n in found - gone}
+            )
 
     def _read_document_when_due(self, inboxes: _Inboxes) -> None:
         """Reads the document from a quorum before callers are served.
@@ -153,7 +155,7 @@
         if self._next_read_at is None or self._now < self._next_read_at:
             return
         self._next_read_at = None
-        ask = Ask(
+        ask = OperationRequest(
             token=_ReadToken(),
             kind=OpKind.READ,
             deadline=self._now + READ_WAIT_S,
@@ -170,7 +172,7 @@
         elif isinstance(msg, CloseEntry):
             if self.query is not None:
                 self.query.close()
-        elif isinstance(msg, Ask):
+        elif isinstance(msg, OperationRequest):
             inboxes.client.append(msg)
         elif isinstance(msg, _QUERY_INPUTS):
             inboxes.query.append(msg)
@@ -284,7 +286,7 @@
 _TO_MEMBERSHIP = (
     query.DrainSeen,
     control.DocumentAccepted,
-    control.Confirmed,
+    control.VersionConfirmed,
 )
 _CONTROL_INPUTS = (
     control.Persisted,
--- a/greengagemoor/serving/control.py
+++ b/greengagemoor/serving/control.py
@@ -15,7 +15,7 @@
 from greengagemoor.control import messages as control
 from greengagemoor.control.client import ControlClient, Done
 from greengagemoor.control.decider import ControlDecider
-from greengagemoor.control.joinmessages import SeedsChanged
+from greengagemoor.control.join_messages import SeedsChanged
 from greengagemoor.control.state import Timing
 from greengagemoor.errors import DocumentError, InvalidInputError
 from greengagemoor.feed import messages as feed
@@ -113,7 +113,7 @@
                 heartbeat=HEARTBEAT_S,
                 election=ELECTION_S,
                 join=JOIN_S,
-                retire=self.cfg.catch_up_s,
+                silence_timeout=self.cfg.catch_up_s,
             ),
             founders=opened.founders,
         )
@@ -202,7 +202,7 @@
             self._send(msg, inbox)
         elif isinstance(msg, control.Persist):
             self._durable.write(msg)
-        elif isinstance(msg, control.NumberedAccepted):
+        elif isinstance(msg, control.NumberedDocumentAccepted):
             self._update_services(msg)
             inbox.append(msg)
         elif isinstance(msg, control.EvacuationsAccepted):
@@ -225,7 +225,7 @@
         else:
             self._links.send(msg)
 
-    def _update_services(self, msg: control.NumberedAccepted) -> None:
+    def _update_services(self, msg: control.NumberedDocumentAccepted) -> None:
         """Passes the services of the document in force to the hub."""
         try:
             table = self._dialect.read_document(zlib.decompress(msg.packed))
@@ -243,7 +243,7 @@
         know of a group, to forward operators' calls to its leader.
         """
         state = self._decider.state
-        outside = self._decider.is_outside
+        outside = self._decider.is_joining
         if state.members is self._linked_members and not outside:
             return
         self._linked_members = None if outside else state.members
--- a/greengagemoor/serving/inboxes.py
+++ b/greengagemoor/serving/inboxes.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from greengagemoor.control import messages as control
-from greengagemoor.control.client import Ask
-from greengagemoor.control.joinmessages import SeedsChanged
+from greengagemoor.control.client import OperationRequest
+from greengagemoor.control.join_messages import SeedsChanged
 from greengagemoor.feed import messages as feed
 
 _DECIDER_MESSAGES = (control.Persisted, control.Recovered, SeedsChanged)
@@ -22,7 +22,7 @@
     feed.Leaving,
     feed.LinkUp,
     feed.LinkDown,
-    control.NumberedAccepted,
+    control.NumberedDocumentAccepted,
     control.EvacuationsAccepted,
     feed.ClearSuspect,
 )
@@ -46,4 +46,4 @@
     """Whether the client of the control group receives the message."""
     if isinstance(msg, control.Received):
         return isinstance(msg.payload, control.OpReply)
-    return isinstance(msg, Ask)
+    return isinstance(msg, OperationRequest)
--- a/greengagemoor/serving/operators.py
+++ b/greengagemoor/serving/operators.py
@@ -8,7 +8,7 @@
 
 from greengagemoor import log
 from greengagemoor.codes import CODE_TABLE, Code
-from greengagemoor.control.client import Ask
+from greengagemoor.control.client import OperationRequest
 from greengagemoor.control.commands import PutDocument, SetEvacuation
 from greengagemoor.control.messages import OpKind
 from greengagemoor.errors import DocumentError
@@ -51,8 +51,9 @@
             cfg: settings.
             dialect: reads documents and writes answers.
             open_calls: holds each call until it is answered.
-            put: receives ``Ask``.
-            now: returns the time in seconds, by the clock of ``Ask``.
+            put: receives ``OperationRequest``.
+            now: returns the time in seconds, by the clock of
+                ``OperationRequest``.
         """
         self.cfg = cfg
         self.decider: ControlDecider | None = None
@@ -115,7 +116,7 @@
         number = 0
         if self.decider is not None:
             table = self.decider.state.machine.evacuations
-            number = table.number_of(call.data_centre)
+            number = table.latest_number(call.data_centre)
         command = SetEvacuation(call.data_centre, call.active, number, 0.0)
         self._submit(req, OpKind.EVACUATE, write, command)
 
@@ -140,7 +141,7 @@
         command: PutDocument | SetEvacuation | None = None,
     ) -> None:
         token = self._calls.open(req, write)
-        self._put(Ask(token, kind, self._now() + ASK_S, command))
+        self._put(OperationRequest(token, kind, self._now() + ASK_S, command))
 
     def _write_put(self, reply: OpReply) -> Reply:
         return self._dialect.write_put(reply.code == Code.ACCEPTED)
--- a/greengagemoor/shell/group_notes.py
+++ b/greengagemoor/shell/group_notes.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor import log
-from greengagemoor.control.notices import JoinWaiting, MembersChanged
+from greengagemoor.control.notices import JoinPending, MembersChanged
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -34,7 +34,7 @@
     )
 
 
-def _log_join_waiting(msg: JoinWaiting) -> None:
+def _log_join_waiting(msg: JoinPending) -> None:
     log.event(
         "join_waiting",
         level="WARNING",
@@ -46,5 +46,5 @@
 
 WRITERS: dict[type, Callable[[object], None]] = {
     MembersChanged: _log_members,
-    JoinWaiting: _log_join_waiting,
+    JoinPending: _log_join_waiting,
 }
--- a/greengagemoor/shell/routes.py
+++ b/greengagemoor/shell/routes.py
@@ -10,7 +10,7 @@
 import attrs
 
 from greengagemoor.codes import CODE_TABLE, Code
-from greengagemoor.control.client import Ask
+from greengagemoor.control.client import OperationRequest
 from greengagemoor.control.commands import ApplyDocument
 from greengagemoor.control.messages import OpKind
 from greengagemoor.errors import InvalidInputError
@@ -263,7 +263,9 @@
 ) -> Done | None:
     deadline = app.clock.now() + OPERATION_TIMEOUT_S
     return app.ask(
-        lambda token: Ask(token, kind, deadline, command, member_id=member_id),
+        lambda token: OperationRequest(
+            token, kind, deadline, command, member_id=member_id
+        ),
         OPERATION_TIMEOUT_S + ANSWER_GRACE_S,
     )
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -11,7 +11,7 @@
 
 from greengagemoor.backends import BackendServer, HeldVersion, ServerState
 from greengagemoor.control.decider import ControlDecider
-from greengagemoor.control.joinmessages import SeedsChanged
+from greengagemoor.control.join_messages import SeedsChanged
 from greengagemoor.control.messages import (
     Persist,
     Persisted,
--- a/tests/test_control/helpers.py
+++ b/tests/test_control/helpers.py
@@ -5,7 +5,7 @@
 import json
 
 from greengagemoor.codes import Code
-from greengagemoor.control.client import Ask, Done
+from greengagemoor.control.client import Done, OperationRequest
 from greengagemoor.control.commands import ApplyDocument
 from greengagemoor.control.messages import MEMBER_PAYLOADS, OpKind, OpReply
 from tests.fakes import FakeFleet
@@ -56,16 +56,23 @@
         """Sends an apply; returns the token of its result."""
         token = f"{apply_id}@{at}/{self.fleet.now}"
         command = ApplyDocument(apply_id, replaces, document(number), 0.0)
-        self._ask(at, Ask(token, OpKind.APPLY, self.fleet.now + wait, command))
+        self._ask(
+            at,
+            OperationRequest(
+                token, OpKind.APPLY, self.fleet.now + wait, command
+            ),
+        )
         return token
 
     def read(self, at: str, wait=5.0) -> str:
         """Sends a read; returns the token of its result."""
         token = f"read@{at}/{self.fleet.now}"
-        self._ask(at, Ask(token, OpKind.READ, self.fleet.now + wait))
+        self._ask(
+            at, OperationRequest(token, OpKind.READ, self.fleet.now + wait)
+        )
         return token
 
-    def _ask(self, at: str, ask: Ask) -> None:
+    def _ask(self, at: str, ask: OperationRequest) -> None:
         self.fleet.put(at, ask)
 
     def result(self, token: str) -> Done | None:
@@ -95,7 +102,7 @@
     }
 
 
-def others(leader: str) -> list[str]:
+def followers(leader: str) -> list[str]:
     """Returns the control instances other than the leader."""
     return [name for name in GROUP if name != leader]
 
--- a/tests/test_control/test_apply.py
+++ b/tests/test_control/test_apply.py
@@ -12,7 +12,7 @@
 from tests.test_control.helpers import (
     GROUP,
     Operator,
-    others,
+    followers,
     start_group,
     versions,
 )
@@ -83,8 +83,8 @@
     def test_first_result_after_the_log_was_trimmed(
         self, fleet, operator, monkeypatch
     ):
-        monkeypatch.setattr(replication, "SNAPSHOT_EVERY", 10)
-        monkeypatch.setattr(replication, "KEPT_BEHIND_SNAPSHOT", 2)
+        monkeypatch.setattr(replication, "MIN_SNAPSHOT_INTERVAL", 10)
+        monkeypatch.setattr(replication, "ENTRIES_KEPT_BEFORE_SNAPSHOT", 2)
         for number in range(25):
             operator.accept("c2", f"a{number}", number, number)
         leader = fleet.leader()
@@ -109,13 +109,13 @@
         fleet.kill(leader)
         fleet.lose_disk(leader)
         fleet.run_until(fleet.leader)
-        token = operator.read(others(leader)[0])
+        token = operator.read(followers(leader)[0])
         reply = operator.wait(token).reply
         assert (reply.code, reply.version) == (Code.CURRENT, 1)
 
     def test_nothing_is_accepted_before_a_quorum_synced(self, fleet, operator):
         leader = fleet.leader()
-        for name in others(leader):
+        for name in followers(leader):
             fleet.freeze(name)
         token = operator.apply(leader, "alone", 0, 1, wait=2.0)
         done = operator.wait(token)
@@ -198,14 +198,16 @@
 
 def apply_text(operator: Operator, apply_id: str, replaces: int, text: str):
     """Applies this text at c1."""
-    from greengagemoor.control.client import Ask
+    from greengagemoor.control.client import OperationRequest
     from greengagemoor.control.commands import ApplyDocument
     from greengagemoor.control.messages import OpKind
 
     token = f"{apply_id}/{operator.fleet.now}"
     command = ApplyDocument(apply_id, replaces, text, 0.0)
     deadline = operator.fleet.now + 50
-    operator.fleet.put("c1", Ask(token, OpKind.APPLY, deadline, command))
+    operator.fleet.put(
+        "c1", OperationRequest(token, OpKind.APPLY, deadline, command)
+    )
     return token
 
 
--- a/tests/test_control/test_elections.py
+++ b/tests/test_control/test_elections.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from greengagemoor.control.messages import AppendRequest
-from tests.test_control.helpers import others, start_group, versions
+from tests.test_control.helpers import followers, start_group, versions
 
 
 class TestElections:
@@ -25,7 +25,7 @@
         """
         leader = fleet.leader()
         term = fleet.nodes[leader].control.state.term
-        lone = others(leader)[0]
+        lone = followers(leader)[0]
         fleet.cut_off(lone)
         fleet.run(60.0)
         fleet.heal()
--- a/tests/test_control/test_evacuations.py
+++ b/tests/test_control/test_evacuations.py
@@ -12,18 +12,18 @@
 )
 
 from greengagemoor.codes import Code
-from greengagemoor.control.client import Ask
+from greengagemoor.control.client import OperationRequest
 from greengagemoor.control.commands import PutDocument, SetEvacuation
+from greengagemoor.control.evacuation_table import EvacuationTable
 from greengagemoor.control.evacuations import Evacuation, EvacuationView
-from greengagemoor.control.evacuationtable import EvacuationTable
-from greengagemoor.control.machine import Machine
 from greengagemoor.control.messages import OpKind, OpRequest, Received
+from greengagemoor.control.replicated_state import ReplicatedState
 from greengagemoor.serving.operators import ASK_S
 from tests.test_control.helpers import (
     GROUP,
     Operator,
+    followers,
     is_whole,
-    others,
     start_group,
 )
 
@@ -38,10 +38,12 @@
         """Sends a command; its result is under the returned token."""
         token = f"{data_centre}:{active}@{at}/{self.fleet.now}"
         table = self.fleet.nodes[at].control.state.machine.evacuations
-        number = table.number_of(data_centre)
+        number = table.latest_number(data_centre)
         command = SetEvacuation(data_centre, active, number, 0.0)
         deadline = self.fleet.now + wait
-        self._ask(at, Ask(token, OpKind.EVACUATE, deadline, command))
+        self._ask(
+            at, OperationRequest(token, OpKind.EVACUATE, deadline, command)
+        )
         return token
 
     def order(self, at, data_centre, *, active, wait=WAIT_S):
@@ -53,7 +55,7 @@
         """Returns the evacuated data centres, None without a quorum in time."""
         token = f"list@{at}/{self.fleet.now}"
         deadline = self.fleet.now + wait
-        self._ask(at, Ask(token, OpKind.READ_NUMBERED, deadline))
+        self._ask(at, OperationRequest(token, OpKind.READ_NUMBERED, deadline))
         reply = self.wait(token).reply
         if reply.code != Code.CURRENT:
             return None
@@ -102,10 +104,10 @@
         assert self.set(table, True, 0).code is Code.CONFLICT
 
     def test_snapshot(self):
-        machine = Machine()
+        machine = ReplicatedState()
         machine.apply(SetEvacuation("dc1", True, 0, 1.0))
         machine.apply(PutDocument(3, b"packed", 2.0))
-        other = Machine()
+        other = ReplicatedState()
         other.load(machine.save())
         assert other.evacuations.rows() == (Evacuation("dc1", 1, True),)
         assert other.numbered.number == 3
@@ -117,9 +119,9 @@
     def test_order_of_rows_does_not_matter(self):
         rows = (Evacuation("dc1", 1, True), Evacuation("dc1", 2, False))
         view = EvacuationView()
-        assert view.take(reversed(rows)) == rows[1:]
+        assert view.merge(reversed(rows)) == rows[1:]
         assert view.active == frozenset()
-        assert view.take(rows) == ()
+        assert view.merge(rows) == ()
 
 
 class TestGroup:
@@ -152,7 +154,7 @@
         fleet.cut_off(leader)
         lost = operator.submit(leader, "dc1", active=True, wait=ASK_S)
         fleet.run(1.0)
-        other = others(leader)[0]
+        other = followers(leader)[0]
         assert operator.order(other, "dc1", active=True, wait=10.0)
         assert operator.order(other, "dc1", active=False)
         fleet.heal()
@@ -167,7 +169,7 @@
         copy = OpRequest(9_999, OpKind.EVACUATE, command)
         assert operator.order(leader, "dc1", active=True)
         assert operator.order(leader, "dc1", active=False)
-        fleet.put(leader, Received(others(leader)[0], copy))
+        fleet.put(leader, Received(followers(leader)[0], copy))
         fleet.run(1.0)
         assert operator.active(leader) == set()
 
--- a/tests/test_control/test_joining.py
+++ b/tests/test_control/test_joining.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from greengagemoor.codes import Code
+from greengagemoor.control.join_messages import JoinReply, JoinRequest
 from greengagemoor.control.joining import MAX_BACKOFF_FACTOR, TARGETS_PER_ROUND
-from greengagemoor.control.joinmessages import JoinReply, JoinRequest
 from greengagemoor.control.messages import Received
 from tests.test_control.helpers import (
     Operator,
@@ -94,7 +94,7 @@
         fleet.run(2.0)
         assert len(state.members) == 6
         fleet.kill("c6")
-        fleet.run(2 * state.timing.retire)
+        fleet.run(2 * state.timing.silence_timeout)
         assert len(state.members) == 5
 
     def test_the_leader_changes_while_it_asks(self):
--- a/tests/test_control/test_sight.py
+++ b/tests/test_control/test_notices.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from greengagemoor.control.notices import JoinWaiting, MembersChanged
+from greengagemoor.control.notices import JoinPending, MembersChanged
 from tests.fakes import FakeFleet
-from tests.test_control.helpers import GROUP, others, start_group
+from tests.test_control.helpers import GROUP, followers, start_group
 
 
 def notices(fleet, name, kind, since=0.0):
@@ -21,7 +21,7 @@
 
     def test_a_replaced_identity(self, fleet):
         leader = fleet.leader()
-        lost = others(leader)[0]
+        lost = followers(leader)[0]
         old = f"{lost}#{fleet.disks[lost].identity}"
         fleet.kill(lost)
         fleet.lose_disk(lost)
@@ -55,7 +55,7 @@
         fleet = FakeFleet()
         fleet.add("c9", ("control",), group=("c9", "c1", "c2"))
         fleet.run(60.0)
-        reported = notices(fleet, "c9", JoinWaiting)
+        reported = notices(fleet, "c9", JoinPending)
         assert 5 <= len(reported) <= 8
         assert reported[0].age_s <= 2.0
         assert {m.reason for m in reported} == {"no_answer"}
@@ -66,7 +66,7 @@
         since = fleet.now
         fleet.add("c4", ("control",), group=(*GROUP, "c4"))
         fleet.run(30.0)
-        assert notices(fleet, "c4", JoinWaiting, since) == []
+        assert notices(fleet, "c4", JoinPending, since) == []
 
 
 class TestGauges:
@@ -81,12 +81,12 @@
             "voters_silent": 0,
             "losses_borne": 1,
         }
-        fleet.kill(others(leader)[0])
+        fleet.kill(followers(leader)[0])
         fleet.run(2.0)
         assert status().gauges()["voters_silent"] == 1
         assert status().gauges()["losses_borne"] == 0
 
     def test_follower_reports_member_counts(self, fleet):
-        follower = others(fleet.leader())[0]
+        follower = followers(fleet.leader())[0]
         gauges = fleet.nodes[follower].control.status().gauges()
         assert gauges == {"voters": 3, "learners": 0}
--- a/tests/test_control/test_repair.py
+++ b/tests/test_control/test_repair.py
@@ -9,8 +9,8 @@
 from greengagemoor.control.state import Progress
 from tests.test_control.helpers import (
     Operator,
+    followers,
     is_whole,
-    others,
     start_group,
     versions,
 )
@@ -27,7 +27,7 @@
         empty c1 voted, c3 would lead with a log that lacks the change.
         """
         leader = fleet.leader()
-        holder, lacking = others(leader)
+        holder, lacking = followers(leader)
         fleet.freeze(lacking)
         operator.accept(leader, "kept", 0, 1)
         fleet.kill(leader)
@@ -43,7 +43,7 @@
 
     def test_second_failure_right_after_the_repair(self, fleet, operator):
         leader = fleet.leader()
-        lost, last = others(leader)
+        lost, last = followers(leader)
         operator.accept(leader, "kept", 0, 1)
         fleet.kill(lost)
         fleet.lose_disk(lost)
@@ -57,7 +57,7 @@
 
     def test_second_failure_during_the_repair(self, fleet, operator):
         leader = fleet.leader()
-        lost, last = others(leader)
+        lost, last = followers(leader)
         operator.accept(leader, "kept", 0, 1)
         fleet.kill(lost)
         fleet.lose_disk(lost)
@@ -79,12 +79,12 @@
         takes long. If it counted because it answers heartbeats, the members
         page would show a spare, and the next failure would stop the group.
         """
-        monkeypatch.setattr(replication, "SNAPSHOT_EVERY", 10)
-        monkeypatch.setattr(replication, "KEPT_BEHIND_SNAPSHOT", 2)
+        monkeypatch.setattr(replication, "MIN_SNAPSHOT_INTERVAL", 10)
+        monkeypatch.setattr(replication, "ENTRIES_KEPT_BEFORE_SNAPSHOT", 2)
         for number in range(25):
             operator.accept("c2", f"a{number}", number, number)
         leader = fleet.leader()
-        lost = others(leader)[0]
+        lost = followers(leader)[0]
         fleet.kill(lost)
         fleet.lose_disk(lost)
         fleet.loses = lambda msg: isinstance(msg.payload, InstallSnapshot)
@@ -99,7 +99,7 @@
     def test_status_warns_when_a_further_loss_stops_the_group(self, fleet):
         leader = fleet.leader()
         assert fleet.nodes[leader].control.status().spare == 1
-        fleet.kill(others(leader)[0])
+        fleet.kill(followers(leader)[0])
         fleet.run(2.0)
         status = fleet.nodes[leader].control.status()
         assert status.spare == 0
@@ -171,8 +171,8 @@
 
     def test_votes_of_lost_disks_are_removed_before_catch_up(self, monkeypatch):
         """Two of five lost their disks, and the snapshot takes long."""
-        monkeypatch.setattr(replication, "SNAPSHOT_EVERY", 10)
-        monkeypatch.setattr(replication, "KEPT_BEHIND_SNAPSHOT", 2)
+        monkeypatch.setattr(replication, "MIN_SNAPSHOT_INTERVAL", 10)
+        monkeypatch.setattr(replication, "ENTRIES_KEPT_BEFORE_SNAPSHOT", 2)
         fleet = start_group(self.FIVE)
         operator = Operator(fleet)
         for number in range(25):
--- a/tests/test_control/test_status.py
+++ b/tests/test_control/test_status.py
@@ -32,6 +32,6 @@
         alive = {row.instance: row.alive for row in decider.status().members}
         assert alive == {"a": True, "b": False, "c": False}
         reply = AppendReply("g", "b#1", "a#1", state.term, False, 0, 0, 1)
-        replication.take_reply(state, reply)
+        replication.handle_append_reply(state, reply)
         alive = {row.instance: row.alive for row in decider.status().members}
         assert alive == {"a": True, "b": True, "c": False}
--- a/tests/test_feed/test_documents.py
+++ b/tests/test_feed/test_documents.py
@@ -6,7 +6,7 @@
 
 from greengagemoor.codes import Code
 from greengagemoor.control.messages import (
-    NumberedAccepted,
+    NumberedDocumentAccepted,
     OpReply,
     OpRequest,
     Received,
@@ -38,7 +38,7 @@
     bench = HubBench()
     bench.subscribe("e1")
     for number in numbers:
-        bench.step(NumberedAccepted(number, packed(number)))
+        bench.step(NumberedDocumentAccepted(number, packed(number)))
     return bench
 
 
@@ -70,7 +70,7 @@
         view.receive(m.NumberedDocument(7, packed(7)))
         out = view.receive(ask(hub, 7))
         assert accepted(out) == [(12, text(12))]
-        hub.step(NumberedAccepted(13, packed(13)))
+        hub.step(NumberedDocumentAccepted(13, packed(13)))
         assert accepted(view.receive(ask(hub, 12))) == [(13, text(13))]
 
     def test_entry_far_behind_gets_the_whole_document(self):
--- a/tests/test_feed/test_hub.py
+++ b/tests/test_feed/test_hub.py
@@ -7,7 +7,7 @@
 import attrs
 
 from greengagemoor.control.messages import (
-    NumberedAccepted,
+    NumberedDocumentAccepted,
     Received,
     Send,
 )
@@ -246,7 +246,7 @@
     def test_number_is_sent_and_text_fetched(self):
         bench = HubBench()
         bench.subscribe()
-        out = bench.step(NumberedAccepted(7, b"packed"))
+        out = bench.step(NumberedDocumentAccepted(7, b"packed"))
         assert Send("e1", m.DocumentNumber(7)) in out
         (answer,) = bench.step(Received("e1", m.WantNumbered(3)))
         assert answer.payload == m.NumberedDocument(7, b"packed")
@@ -255,8 +255,8 @@
     def test_lower_number_is_ignored(self):
         bench = HubBench()
         bench.subscribe()
-        bench.step(NumberedAccepted(7, b"packed"))
-        assert bench.step(NumberedAccepted(5, b"older")) == []
+        bench.step(NumberedDocumentAccepted(7, b"packed"))
+        assert bench.step(NumberedDocumentAccepted(5, b"older")) == []
 
 
 class TestColdAgain:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from greengagemoor.control.client import Ask
+from greengagemoor.control.client import OperationRequest
 from greengagemoor.control.commands import ApplyDocument
 from greengagemoor.control.messages import OpKind
 from greengagemoor.membership.messages import Announce, AskAddresses
@@ -22,7 +22,7 @@
         fleet.add(name, ("entry",), group=controls, dc=f"dc{number}")
     fleet.run_until(fleet.leader)
     apply = ApplyDocument("first", 0, DOCUMENT, 0.0)
-    ask = Ask("apply", OpKind.APPLY, fleet.now + 5, apply)
+    ask = OperationRequest("apply", OpKind.APPLY, fleet.now + 5, apply)
     fleet.put(controls[0], ask)
     fleet.run_until(lambda: all_in_state(fleet, entries, "ready"))
     for name in "abc":
--- a/tests/test_serving/test_control.py
+++ b/tests/test_serving/test_control.py
@@ -14,7 +14,7 @@
 from greengagemoor.aio.requests import HttpRequest
 from greengagemoor.control.commands import Member
 from greengagemoor.control.decider import ControlDecider
-from greengagemoor.control.joinmessages import JoinReply
+from greengagemoor.control.join_messages import JoinReply
 from greengagemoor.control.messages import Received
 from greengagemoor.feed.messages import LinkUp, RowsTaken, Subscribe
 from greengagemoor.platform.dialect import PlatformDialect
--- a/tests/test_serving/test_operators.py
+++ b/tests/test_serving/test_operators.py
@@ -8,7 +8,7 @@
 
 from greengagemoor.aio.requests import HttpRequest
 from greengagemoor.codes import Code
-from greengagemoor.control.client import Ask, Done
+from greengagemoor.control.client import Done, OperationRequest
 from greengagemoor.control.commands import SetEvacuation
 from greengagemoor.control.evacuations import Evacuation
 from greengagemoor.control.messages import OpKind, OpReply
@@ -70,7 +70,7 @@
         assert caller.status == 0
         (ask,) = harness.asks
         command = SetEvacuation("dc2", True, 0, 0.0)
-        assert ask == Ask(1, OpKind.EVACUATE, 5.9, command)
+        assert ask == OperationRequest(1, OpKind.EVACUATE, 5.9, command)
         harness.end(code)
         assert caller.status == status
 
