--- a/bench/crashes/nodes.py
+++ b/bench/crashes/nodes.py
@@ -7,7 +7,7 @@
 
 from greengagemoor.control.messages import NumberedDocumentAccepted, Send
 from greengagemoor.feed import messages as feed
-from greengagemoor.feed.hub import Hub
+from greengagemoor.feed.hub import FeedHub
 from greengagemoor.feed.timing import Timing
 from greengagemoor.forward import messages as m
 from greengagemoor.forward.entry_decider import EntryDecider
@@ -124,9 +124,9 @@
     def start(self):
         """Starts its process."""
         self.reset()
-        self.decider = Hub(Timing(ANNOUNCE_INTERVAL_S), self.name)
-        self.decider.begin_with(self.fleet.now, self.disk.get("rows", ()))
-        self.decider.suspects.begin_with(self.disk.get("suspects", ()))
+        self.decider = FeedHub(Timing(ANNOUNCE_INTERVAL_S), self.name)
+        self.decider.restore(self.fleet.now, self.disk.get("rows", ()))
+        self.decider.suspects.restore(self.disk.get("suspects", ()))
         names = frozenset(self.fleet.control_names) - {self.name}
         self.decider.set_peers(tuple(sorted(self.fleet.control_names)), names)
         self.put(NumberedDocumentAccepted(1, b"doc"))
@@ -139,8 +139,8 @@
         """Stores rows for a restart, at a regular interval."""
         if self.generation != generation:
             return
-        self.disk["rows"] = self.decider.kept_rows().rows
-        self.disk["suspects"] = self.decider.suspects.kept().rows
+        self.disk["rows"] = self.decider.rows_to_store().rows
+        self.disk["suspects"] = self.decider.suspects.rows_to_store().rows
         self.fleet.at(
             self.fleet.now + SAVE_INTERVAL_S,
             partial(self.save_state, generation),
--- a/bench/crashes/searchers.py
+++ b/bench/crashes/searchers.py
@@ -58,7 +58,7 @@
         control = self.controls[
             stable_hash(searcher.address) % len(self.controls)
         ]
-        control.put(feed.Announced(next(self.ids), row))
+        control.put(feed.SearcherAnnounced(next(self.ids), row))
         self.at(
             self.now + ANNOUNCE_INTERVAL_S, partial(self.announce, searcher)
         )
--- a/bench/gathers.py
+++ b/bench/gathers.py
@@ -20,13 +20,13 @@
 from bench.gather_model import SHEETS, SPEEDS, ModelSearcher, QueryKind, Sheet
 from greengagemoor.feed.messages import (
     SearcherKey,
-    SearcherLearnt,
     SearcherRow,
     SearcherState,
+    SearcherUpdated,
     SlowSearchers,
-    SlowSeen,
+    SlowSendObserved,
 )
-from greengagemoor.feed.slowness import SlowTable
+from greengagemoor.feed.slowness import SlowSearcherTable
 from greengagemoor.feed.view import REPORT_EVERY_S
 from greengagemoor.forward import messages as m
 from greengagemoor.forward.decider import ForwardDecider
@@ -107,7 +107,7 @@
             ForwardDecider("dc0", random.Random(seed + i), Policy(**slack))
             for i in range(sheet.entries)
         ]
-        self._slow_table = SlowTable()
+        self._slow_table = SlowSearcherTable()
         self._slow_reports: dict[int, set[SearcherKey]] = {}
         self._routes = [self._make_route(kind) for kind in sheet.kinds]
         self._wake_times = [math.inf] * sheet.entries
@@ -179,7 +179,7 @@
                 )
                 for key in self._searchers
             ]
-            entry.step(0.0, [SearcherLearnt(row) for row in rows])
+            entry.step(0.0, [SearcherUpdated(row) for row in rows])
 
     def _schedule(self, time: float, callback, *args) -> None:
         heapq.heappush(self._events, (time, next(self._ids), callback, args))
@@ -224,7 +224,10 @@
         elif isinstance(msg, m.CancelAttempt):
             key = (index, msg.attempt_id)
             self._schedule(now + ONE_WAY_S, self._cancel_attempt, key)
-        elif isinstance(msg, SlowSeen) and self.sheet.reports_slow_searchers:
+        elif (
+            isinstance(msg, SlowSendObserved)
+            and self.sheet.reports_slow_searchers
+        ):
             self._collect_slow_report(now, index, msg.searcher)
         elif isinstance(msg, m.Respond):
             self._record_answer(msg)
--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -439,10 +439,10 @@
     ),
     Mutant(
         "starts: few are asked in a round",
-        "feed/reads.py",
+        "feed/document_reads.py",
         "asked = (others[start:] + others[:start])[:OTHERS_PER_ROUND]",
         "asked = others",
-        (FEED + "test_reads.py",),
+        (FEED + "test_document_reads.py",),
     ),
     Mutant(
         "answers leave in time",
@@ -497,21 +497,25 @@
     Mutant(
         "ends: entries know before they serve",
         "feed/hub.py",
-        "self.suspects.tell(sender, is_entry=bool(msg.address))",
+        "self.suspects.rows_message(\n"
+        "            sender, is_entry=bool(msg.address)\n"
+        "        )",
         "[]",
         (FEED + "test_suspects.py",),
     ),
     Mutant(
         "ends: kept over a kill of everything",
         "serving/keeping.py",
-        "        hub.suspects.begin_with(durable.kept_suspects())\n",
+        "        hub.suspects.restore(durable.kept_suspects())\n",
         "",
         ("tests/test_serving/test_durable.py",),
     ),
     Mutant(
         "ends: a control instance that lost its disk is told",
         "feed/view.py",
-        "            self._out += spread.tell(self._suspects, msg.name)\n",
+        "            self._out += suspect_distribution.rows_message(\n"
+        "                self._suspects, msg.name\n"
+        "            )\n",
         "",
         (FEED + "test_suspects.py",),
     ),
--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor.control.messages import Received, Send
-from greengagemoor.feed.hub import Hub
+from greengagemoor.feed.hub import FeedHub
 from greengagemoor.feed.messages import (
     SearcherKey,
     Subscribe,
@@ -83,7 +83,7 @@
 
 def print_distribution_cost() -> None:
     """Prints a control instance's cost of sending a suspect to all entries."""
-    hub = Hub(Timing(1.0), "c1")
+    hub = FeedHub(Timing(1.0), "c1")
     for number in range(ENTRIES):
         name = f"e{number}"
         entry = Subscribe(name, f"10.0.0.{number}:80", "dc1", ready=True)
--- a/greengagemoor/feed/heard.py
+++ b/greengagemoor/feed/announced.py
@@ -37,7 +37,7 @@
     received_at: float
 
 
-class HeardRows:
+class AnnouncedRows:
     """Rows of the searchers that announced themselves here.
 
     Attributes:
@@ -59,7 +59,7 @@
         """Returns all rows."""
         return tuple(tracked.row for tracked in self._tracked.values())
 
-    def begin_with(self, now: float, rows: Iterable[SearcherRow]) -> None:
+    def restore(self, now: float, rows: Iterable[SearcherRow]) -> None:
         """Restores rows that were stored before a restart.
 
         After a restart of all processes it takes an announcement interval
@@ -77,15 +77,15 @@
             self.changed.append(row)
 
     def announce(
-        self, now: float, row: SearcherRow, *, displaces: bool = True
+        self, now: float, row: SearcherRow, *, marks_previous_gone: bool = True
     ) -> bool:
         """Records an announcement.
 
         Args:
             now: seconds.
             row: the announced state of the searcher.
-            displaces: whether another searcher that is recorded at the same
-                address is marked gone.
+            marks_previous_gone: whether another searcher that is recorded at
+                the same address is marked gone.
 
         Returns:
             Whether the row must be sent to others.
@@ -95,7 +95,7 @@
             return False
         if known is not None and known.row.address != row.address:
             self._release_address(known.row)
-        self._assign_address(row, displaces=displaces)
+        self._assign_address(row, marks_previous_gone=marks_previous_gone)
         self._tracked[row.searcher_id] = _TrackedRow(row, now)
         if known is not None and not self._must_send(now, known, row):
             return False
@@ -122,7 +122,9 @@
         if self._by_address.get(row.address) == row.searcher_id:
             del self._by_address[row.address]
 
-    def _assign_address(self, row: SearcherRow, *, displaces: bool) -> None:
+    def _assign_address(
+        self, row: SearcherRow, *, marks_previous_gone: bool
+    ) -> None:
         """Assigns the address to a row; marks its previous holder gone."""
         previous = self._by_address.get(row.address)
         if previous == row.searcher_id:
@@ -131,7 +133,7 @@
         is_active = (
             tracked is not None and tracked.row.state is not SearcherState.GONE
         )
-        if is_active and not displaces:
+        if is_active and not marks_previous_gone:
             return
         self._by_address[row.address] = row.searcher_id
         if is_active:
--- a/greengagemoor/feed/reads.py
+++ b/greengagemoor/feed/document_reads.py
@@ -17,7 +17,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class Reads:
+class DocumentReadSchedule:
     """Selects the control instances that a starting entry asks, and when.
 
     A control instance that is partitioned from the others may have an old
@@ -38,7 +38,7 @@
         """Whether the next round is due."""
         return now >= self.at
 
-    def hurry(self, now: float) -> None:
+    def expedite(self, now: float) -> None:
         """Moves the next round forward after a document or leader is announced.
 
         After a restart of all processes, an entry that asks only every 0.1 s
@@ -52,7 +52,7 @@
         """Records the leader that another control instance names."""
         if name and name != self._leader:
             self._leader = name
-            self.hurry(now)
+            self.expedite(now)
 
     def ask(self, now: float, linked: list[str], known: int) -> list[Send]:
         """Returns the requests of a round.
--- a/greengagemoor/feed/hub.py
+++ b/greengagemoor/feed/hub.py
@@ -12,19 +12,19 @@
     Received,
     Send,
 )
-from greengagemoor.feed import helpers
+from greengagemoor.feed import helper_selection
 from greengagemoor.feed import messages as m
-from greengagemoor.feed.heard import (
+from greengagemoor.feed.announced import (
     ENDED_RETENTION_S,
     LOST_AFTER_INTERVALS,
-    HeardRows,
+    AnnouncedRows,
 )
 from greengagemoor.feed.history import DocumentHistory
 from greengagemoor.feed.messages import SearcherState
-from greengagemoor.feed.rows import OtherRows
-from greengagemoor.feed.slowness import SlowTable
-from greengagemoor.feed.spread import SuspectSpread
+from greengagemoor.feed.peer_rows import PeerRows
+from greengagemoor.feed.slowness import SlowSearcherTable
 from greengagemoor.feed.subscribers import Subscribers
+from greengagemoor.feed.suspect_distribution import SuspectDistributor
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -32,7 +32,7 @@
     from greengagemoor.feed.timing import Timing
 
 
-class Hub:
+class FeedHub:
     """Sends the searchers that announced themselves here to subscribers.
 
     Each entry subscribes to every control instance, so a change crosses each
@@ -51,7 +51,7 @@
         """
         self._timing = timing
         self._subscription = m.Subscribe(name, "", "", ready=False)
-        self._own_rows = HeardRows(timing.announce)
+        self._own_rows = AnnouncedRows(timing.announce)
         self._subscribers = Subscribers()
         self._number = 0
         self._documents = DocumentHistory()
@@ -60,12 +60,12 @@
         self._peer_names: frozenset[str] = frozenset()
         self._linked: set[str] = set()
         self._subscribed: set[str] = set()
-        self._other_rows = OtherRows(
+        self._other_rows = PeerRows(
             LOST_AFTER_INTERVALS * timing.announce, ENDED_RETENTION_S
         )
-        self._slow_searchers = SlowTable()
+        self._slow_searchers = SlowSearcherTable()
         self._evacuations = EvacuationView()
-        self.suspects = SuspectSpread(self._subscribers)
+        self.suspects = SuspectDistributor(self._subscribers)
         self._services: frozenset[str] | None = None
         self._is_outside_group = False
         self._sweep_at = 0.0
@@ -78,21 +78,21 @@
         return self._number
 
     @property
-    def others_number(self) -> int:
+    def peer_rows_version(self) -> int:
         """Version of other instances' rows; increases with each change."""
-        return self._other_rows.changes
+        return self._other_rows.version
 
     def step(self, now: float, msgs: Iterable[object]) -> list:
         """Runs one tick.
 
         Args:
             now: seconds of a monotonic clock.
-            msgs: ``Announced``, ``Leaving``, ``Received``, ``LinkUp``,
-                ``LinkDown``, ``NumberedDocumentAccepted``,
+            msgs: ``SearcherAnnounced``, ``SearcherLeaving``, ``Received``,
+                ``LinkUp``, ``LinkDown``, ``NumberedDocumentAccepted``,
                 ``EvacuationsAccepted``, ``ClearSuspect``.
 
         Returns:
-            ``Send``, ``AnnouncementTaken``, ``AnnouncementRefused`` and
+            ``Send``, ``AnnouncementAccepted``, ``AnnouncementRejected`` and
             ``StandingChanged``.
         """
         self._now, self._out = now, []
@@ -125,39 +125,39 @@
             **{f"searchers_{name}": n for name, n in states.items()},
         }
 
-    def kept_rows(self) -> m.SearcherRows:
+    def rows_to_store(self) -> m.SearcherRows:
         """Returns this instance's rows to store for a restart."""
         gone = SearcherState.GONE
         kept = tuple(r for r in self._own_rows.rows() if r.state is not gone)
         return m.SearcherRows(self._number, True, kept)
 
     @property
-    def entries_seen(self) -> int:
+    def recent_entry_count(self) -> int:
         """Number of entries that share the limits of searchers and rules."""
-        return self._subscribers.entries_seen
+        return self._subscribers.recent_entry_count
 
-    def begin_with_entries(self, now: float, number: int) -> None:
+    def restore_entry_count(self, now: float, number: int) -> None:
         """Restores the number of entries from before a restart."""
-        self._subscribers.begin_with(now, number)
+        self._subscribers.restore(now, number)
 
-    def kept_others(self) -> m.SearcherRows:
+    def peer_rows_to_store(self) -> m.SearcherRows:
         """Returns other instances' rows to store for a restart."""
         return m.SearcherRows(self._number, True, self._other_rows.rows())
 
-    def begin_with_others(
+    def restore_peer_rows(
         self, now: float, rows: Iterable[m.SearcherRow]
     ) -> None:
         """Restores other instances' rows stored before a restart."""
-        self._other_rows.begin_with(now, rows)
+        self._other_rows.restore(now, rows)
 
-    def begin_with(self, now: float, rows: Iterable[m.SearcherRow]) -> None:
+    def restore(self, now: float, rows: Iterable[m.SearcherRow]) -> None:
         """Restores this instance's rows stored before a restart.
 
         Args:
             now: as in ``step``, which may not have run yet.
             rows: the stored rows.
         """
-        self._own_rows.begin_with(now, rows)
+        self._own_rows.restore(now, rows)
 
     def set_peers(
         self, addresses: tuple[str, ...], names: frozenset[str] = frozenset()
@@ -173,7 +173,7 @@
             self._peers = addresses
             self._peers_changed = True
 
-    def set_outside(self, outside: bool) -> None:
+    def set_outside_group(self, outside: bool) -> None:
         """Sets whether this control instance belongs to no control group.
 
         Entries receive the addresses of members only. An instance outside the
@@ -192,12 +192,12 @@
         self._services = names
 
     def _known_peers(self) -> m.KnownPeers:
-        return m.KnownPeers(self._peers, self._subscribers.entries_seen)
+        return m.KnownPeers(self._peers, self._subscribers.recent_entry_count)
 
     def _handle(self, msg: object) -> None:
-        if isinstance(msg, m.Announced):
+        if isinstance(msg, m.SearcherAnnounced):
             self._handle_announced(msg)
-        elif isinstance(msg, m.Leaving):
+        elif isinstance(msg, m.SearcherLeaving):
             self._handle_leaving(msg)
         elif isinstance(msg, Received):
             self._handle_received(msg.sender, msg.payload)
@@ -220,23 +220,25 @@
             self._subscribed.add(name)
             self._out.append(Send(name, self._subscription))
 
-    def _handle_announced(self, msg: m.Announced) -> None:
+    def _handle_announced(self, msg: m.SearcherAnnounced) -> None:
         if self._has_no_audience():
-            self._out.append(m.AnnouncementRefused(msg.token))
+            self._out.append(m.AnnouncementRejected(msg.token))
             return
         row = msg.row
         is_defined = self._services is None or row.service in self._services
-        if self._own_rows.announce(self._now, row, displaces=is_defined):
+        if self._own_rows.announce(
+            self._now, row, marks_previous_gone=is_defined
+        ):
             self._delay_ack(msg.token)
         else:
-            self._out.append(m.AnnouncementTaken(msg.token))
+            self._out.append(m.AnnouncementAccepted(msg.token))
 
     def _has_no_audience(self) -> bool:
         return self._is_outside_group and not self._subscribers.entries()
 
-    def _handle_leaving(self, msg: m.Leaving) -> None:
+    def _handle_leaving(self, msg: m.SearcherLeaving) -> None:
         if self._has_no_audience():
-            self._out.append(m.AnnouncementRefused(msg.token))
+            self._out.append(m.AnnouncementRejected(msg.token))
             return
         start = msg.start
         if start is None:
@@ -249,20 +251,24 @@
 
     def _delay_ack(self, token: object) -> None:
         """Delays an acknowledgement until all subscribers have the change."""
-        self._subscribers.hold(self._now, token, self._number + 1)
+        self._subscribers.delay_acknowledgement(
+            self._now, token, self._number + 1
+        )
 
     def _handle_received(self, sender: str, payload: object) -> None:
         if isinstance(payload, m.Subscribe):
             self._handle_subscribe(sender, payload)
         elif isinstance(payload, m.SearcherRows):
-            self._other_rows.take(self._now, payload.rows)
+            self._other_rows.merge(self._now, payload.rows)
             self._out.append(Send(sender, m.RowsTaken(payload.number)))
         elif isinstance(payload, m.SlowReport):
             self._handle_slow_report(payload)
         elif isinstance(payload, m.SuspectRows):
-            self._out += self.suspects.take(sender, payload.rows)
+            self._out += self.suspects.merge(sender, payload.rows)
         elif isinstance(payload, m.WantHelpers):
-            chosen = helpers.choose(self._subscribers.entries(), sender)
+            chosen = helper_selection.choose(
+                self._subscribers.entries(), sender
+            )
             self._out.append(Send(sender, m.Helpers(chosen)))
         elif isinstance(payload, m.RowsTaken):
             self._subscribers.note_taken(sender, payload.number)
@@ -283,10 +289,10 @@
                 self._out.append(Send(name, message))
 
     def _handle_subscribe(self, sender: str, msg: m.Subscribe) -> None:
-        previous = self._subscribers.entries_seen
+        previous = self._subscribers.recent_entry_count
         if not self._subscribers.put(self._now, sender, msg):
             return
-        if self._subscribers.entries_seen != previous:
+        if self._subscribers.recent_entry_count != previous:
             self._peers_changed = True
         rows = self._own_rows.rows()
         if msg.address:
@@ -297,7 +303,9 @@
         if msg.address and self._evacuations.rows():
             message = m.Evacuations(self._evacuations.rows())
             self._out.append(Send(sender, message))
-        self._out += self.suspects.tell(sender, is_entry=bool(msg.address))
+        self._out += self.suspects.rows_message(
+            sender, is_entry=bool(msg.address)
+        )
         self._out.append(Send(sender, m.SearcherRows(self._number, True, rows)))
         self._out.append(Send(sender, m.DocumentNumber(self._documents.number)))
 
@@ -341,5 +349,5 @@
             self._out.append(Send(name, rows))
 
     def _send_due_acks(self) -> None:
-        tokens = self._subscribers.release(self._now, self._number)
-        self._out += [m.AnnouncementTaken(token) for token in tokens]
+        tokens = self._subscribers.due_acknowledgements(self._now, self._number)
+        self._out += [m.AnnouncementAccepted(token) for token in tokens]
--- a/greengagemoor/feed/messages.py
+++ b/greengagemoor/feed/messages.py
@@ -227,28 +227,28 @@
 
 
 @values.frozen
-class HelpersLearnt:
+class HelpersUpdated:
     """The entries with which this one may share queries from now on."""
 
     helpers: tuple[Helper, ...]
 
 
 @values.frozen
-class EvacuationsLearnt:
+class EvacuationsUpdated:
     """This entry received newer evacuation states of data centres."""
 
     rows: tuple[Evacuation, ...]
 
 
 @values.frozen
-class SuspectsSeen:
+class SuspectsObserved:
     """An entry observed that searchers terminated or a request was answered."""
 
     rows: tuple[Suspect, ...]
 
 
 @values.frozen
-class SuspectsLearnt:
+class SuspectsReceived:
     """This entry received suspect requests from a control instance."""
 
     rows: tuple[Suspect, ...]
@@ -269,18 +269,18 @@
 
 
 @values.frozen
-class SlowSeen:
+class SlowSendObserved:
     """A send took several times the usual time of its route."""
 
     searcher: SearcherKey
 
 
 @values.frozen
-class Announced:
+class SearcherAnnounced:
     """A searcher announced itself here.
 
     Attributes:
-        token: returned in ``AnnouncementTaken``.
+        token: returned in ``AnnouncementAccepted``.
     """
 
     token: object
@@ -288,7 +288,7 @@
 
 
 @values.frozen
-class Leaving:
+class SearcherLeaving:
     """A searcher reports that it will stop; it may still serve briefly.
 
     Attributes:
@@ -301,14 +301,14 @@
 
 
 @values.frozen
-class AnnouncementTaken:
+class AnnouncementAccepted:
     """The announcement may now be acknowledged to the searcher."""
 
     token: object
 
 
 @values.frozen
-class AnnouncementRefused:
+class AnnouncementRejected:
     """The announcement was rejected; another instance may accept it."""
 
     token: object
@@ -329,14 +329,14 @@
 
 
 @values.frozen
-class SearcherLearnt:
+class SearcherUpdated:
     """A searcher is new to this entry, or its row changed."""
 
     row: SearcherRow
 
 
 @values.frozen
-class DocumentLearnt:
+class DocumentUpdated:
     """This entry received a newer document."""
 
     number: int
@@ -344,7 +344,7 @@
 
 
 @values.frozen
-class DifferenceRefused:
+class DifferenceRejected:
     """Rejects a difference; the entry requests the whole document."""
 
     source: str
--- a/greengagemoor/feed/rows.py
+++ b/greengagemoor/feed/peer_rows.py
@@ -40,7 +40,7 @@
     until: float
 
 
-class OtherRows:
+class PeerRows:
     """Rows received from other control instances.
 
     They are sent only to entries that subscribe, together with this instance's
@@ -62,20 +62,20 @@
         self._unconfirmed_s = unconfirmed_s
         self._ended_s = ended_s
         self._received: dict[str, _ReceivedRow] = {}
-        self.changes = 0
+        self.version = 0
 
-    def begin_with(self, now: float, rows: Iterable[SearcherRow]) -> None:
+    def restore(self, now: float, rows: Iterable[SearcherRow]) -> None:
         """Restores rows that were stored before a restart."""
         for row in rows:
             until = now + self._unconfirmed_s
             self._received.setdefault(row.searcher_id, _ReceivedRow(row, until))
 
-    def take(self, now: float, rows: Iterable[SearcherRow]) -> None:
+    def merge(self, now: float, rows: Iterable[SearcherRow]) -> None:
         """Merges rows received from another control instance."""
         for row in rows:
             known = self._received.get(row.searcher_id)
             merged = row if known is None else newer(known.row, row)
-            self.changes += known is None or merged != known.row
+            self.version += known is None or merged != known.row
             is_active = merged.state in (
                 SearcherState.READY,
                 SearcherState.DRAINING,
--- a/greengagemoor/feed/slowness.py
+++ b/greengagemoor/feed/slowness.py
@@ -30,7 +30,7 @@
     until: float = float("-inf")
 
 
-class SlowTable:
+class SlowSearcherTable:
     """Collects reports and selects the searchers that all entries avoid.
 
     With many entries, each sends to a given searcher only every few seconds. If
--- a/greengagemoor/feed/subscribers.py
+++ b/greengagemoor/feed/subscribers.py
@@ -72,7 +72,7 @@
             self._entries_seen[name] = now
         return True
 
-    def begin_with(self, now: float, entries: int) -> None:
+    def restore(self, now: float, entries: int) -> None:
         """Restores the number of entries from before a restart.
 
         After a power loss the first entry to return would otherwise count as
@@ -91,7 +91,9 @@
         if subscriber is not None:
             subscriber.taken = max(subscriber.taken, number)
 
-    def hold(self, now: float, token: object, number: int) -> None:
+    def delay_acknowledgement(
+        self, now: float, token: object, number: int
+    ) -> None:
         """Delays an acknowledgement until all subscribers have a number.
 
         A draining searcher stops serving some seconds after the
@@ -102,7 +104,7 @@
             _PendingAck(token, number, now + MAX_ACK_DELAY_S)
         )
 
-    def release(self, now: float, number: int) -> list[object]:
+    def due_acknowledgements(self, now: float, number: int) -> list[object]:
         """Returns the tokens of the acknowledgements that are due.
 
         Args:
@@ -145,7 +147,7 @@
         return len(self._pending_acks)
 
     @property
-    def entries_seen(self) -> int:
+    def recent_entry_count(self) -> int:
         """Number of entries linked recently, including those gone since."""
         return max(len(self._entries_seen), self._restored_entries)
 
--- a/greengagemoor/feed/spread.py
+++ b/greengagemoor/feed/suspect_distribution.py
@@ -24,7 +24,7 @@
 the same time."""
 
 
-class SuspectSpread:
+class SuspectDistributor:
     """Merges rows from entries and other control instances and forwards them.
 
     Each entry sees few searchers terminate during one request; only the sum
@@ -42,16 +42,16 @@
         self.table = SuspectTable()
         self._subscribers = subscribers
 
-    def kept(self) -> SuspectRows:
+    def rows_to_store(self) -> SuspectRows:
         """Returns the rows to store for a restart of this instance."""
         return SuspectRows(self.table.rows(*Standing))
 
-    def begin_with(self, rows: Iterable[Suspect]) -> None:
+    def restore(self, rows: Iterable[Suspect]) -> None:
         """Restores rows that were stored before a restart."""
         for row in rows:
             self.table.join(row)
 
-    def take(self, sender: str, rows: Iterable[Suspect]) -> list:
+    def merge(self, sender: str, rows: Iterable[Suspect]) -> list:
         """Merges rows; returns the resulting messages."""
         changed = []
         out: list = []
@@ -70,15 +70,15 @@
         row = self.table.get(fingerprint)
         if row is None:
             return []
-        return self.take("", (cleared(row),))
+        return self.merge("", (cleared(row),))
 
-    def tell(self, name: str, *, is_entry: bool) -> list[Send]:
+    def rows_message(self, name: str, *, is_entry: bool) -> list[Send]:
         """Returns the messages to a new subscriber.
 
         An entry needs no watched requests. Another control instance needs all
         rows, as it may have lost its disk.
         """
-        return tell(
+        return rows_message(
             self.table, name, ENFORCED_STANDINGS if is_entry else Standing
         )
 
@@ -95,7 +95,7 @@
         return out
 
 
-def tell(
+def rows_message(
     table: SuspectTable,
     name: str,
     standings: Iterable[Standing] = ENFORCED_STANDINGS,
--- a/greengagemoor/feed/view.py
+++ b/greengagemoor/feed/view.py
@@ -11,9 +11,9 @@
 from greengagemoor.control.evacuations import EvacuationView
 from greengagemoor.control.messages import OpReply, Received, Send
 from greengagemoor.feed import messages as m
-from greengagemoor.feed import spread
-from greengagemoor.feed.reads import Reads
-from greengagemoor.feed.rows import newer
+from greengagemoor.feed import suspect_distribution
+from greengagemoor.feed.document_reads import DocumentReadSchedule
+from greengagemoor.feed.peer_rows import newer
 from greengagemoor.feed.suspects import SuspectTable
 from greengagemoor.util import difference
 
@@ -45,7 +45,7 @@
     retry_at: float
 
 
-class View:
+class FeedView:
     """Searchers and document as known to this entry.
 
     The row of a searcher with the highest sequence takes precedence,
@@ -79,7 +79,7 @@
         self._packed = b""
         self._needs_whole = False
         self._evacuations = EvacuationView()
-        self._reads = Reads()
+        self._reads = DocumentReadSchedule()
         self.entries = 1
         self.peers: tuple[str, ...] = ()
         self.leaving = False
@@ -100,13 +100,13 @@
 
         Args:
             now: seconds of a monotonic clock.
-            msgs: ``LinkUp``, ``LinkDown``, ``Received``, ``SlowSeen``,
-                ``SuspectsSeen``.
+            msgs: ``LinkUp``, ``LinkDown``, ``Received``, ``SlowSendObserved``,
+                ``SuspectsObserved``.
 
         Returns:
-            ``Send``, ``SearcherLearnt``, ``SlowSearchers``, ``SuspectsLearnt``,
-            ``EvacuationsLearnt``, ``HelpersLearnt``, ``DocumentLearnt``,
-            ``DifferenceRefused``, ``ReadyChanged``.
+            ``Send``, ``SearcherUpdated``, ``SlowSearchers``,
+            ``SuspectsReceived``, ``EvacuationsUpdated``, ``HelpersUpdated``,
+            ``DocumentUpdated``, ``DifferenceRejected``, ``ReadyChanged``.
         """
         self._now = now
         self._out = []
@@ -149,12 +149,14 @@
             self._sources[msg.name] = _Source()
             self._out.append(Send(msg.name, self.me))
             # The control instance may have lost its disk.
-            self._out += spread.tell(self._suspects, msg.name)
+            self._out += suspect_distribution.rows_message(
+                self._suspects, msg.name
+            )
         elif isinstance(msg, m.LinkDown):
             self._sources.pop(msg.name, None)
-        elif isinstance(msg, m.SlowSeen):
+        elif isinstance(msg, m.SlowSendObserved):
             self._slow_seen.add(msg.searcher)
-        elif isinstance(msg, m.SuspectsSeen):
+        elif isinstance(msg, m.SuspectsObserved):
             # All control instances forward the rows, so one reachable instance
             # is sufficient.
             message = m.SuspectRows(msg.rows)
@@ -171,13 +173,13 @@
             self._out.append(Send(sender, m.RowsTaken(payload.number)))
         elif isinstance(payload, m.DocumentNumber):
             source.document = max(source.document, payload.number)
-            self._reads.hurry(self._now)
+            self._reads.expedite(self._now)
         elif isinstance(payload, m.NumberedDocument):
             self._handle_document(sender, payload)
         elif isinstance(payload, m.SlowSearchers):
             self._out.append(payload)
         elif isinstance(payload, m.SuspectRows):
-            self._out.append(m.SuspectsLearnt(payload.rows))
+            self._out.append(m.SuspectsReceived(payload.rows))
         elif isinstance(payload, m.Evacuations):
             self._merge_evacuations(payload.rows)
         elif isinstance(payload, m.Helpers):
@@ -192,12 +194,12 @@
     def _merge_evacuations(self, rows: tuple[Evacuation, ...]) -> None:
         changed = self._evacuations.merge(rows)
         if changed:
-            self._out.append(m.EvacuationsLearnt(changed))
+            self._out.append(m.EvacuationsUpdated(changed))
 
     def _update_helpers(self, helpers: tuple[m.Helper, ...]) -> None:
         if helpers != self._helpers:
             self._helpers = helpers
-            self._out.append(m.HelpersLearnt(helpers))
+            self._out.append(m.HelpersUpdated(helpers))
 
     def _update_peers(self) -> None:
         """Keeps the union of the lists of all linked control instances.
@@ -220,14 +222,14 @@
             if row == known:
                 return
         self._rows[row.searcher_id] = row
-        self._out.append(m.SearcherLearnt(row))
+        self._out.append(m.SearcherUpdated(row))
 
     def _store_document(self, number: int, packed: bytes) -> None:
         if number > self.number and packed:
             self.number = number
             self._packed = packed
             self._needs_whole = False
-            self._out.append(m.DocumentLearnt(number, packed))
+            self._out.append(m.DocumentUpdated(number, packed))
         if self._fetch is not None and number >= self.number:
             self._fetch = None
 
@@ -239,7 +241,7 @@
             except ValueError as exc:
                 # The difference applies to the document at the time of the
                 # request, which may have been replaced since.
-                refusal = m.DifferenceRefused(sender, msg.number, str(exc))
+                refusal = m.DifferenceRejected(sender, msg.number, str(exc))
                 self._out.append(refusal)
                 self._needs_whole = True
                 self._fetch = None
--- a/greengagemoor/forward/decider.py
+++ b/greengagemoor/forward/decider.py
@@ -6,10 +6,10 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor.feed.messages import (
-    EvacuationsLearnt,
-    SearcherLearnt,
+    EvacuationsUpdated,
+    SearcherUpdated,
     SlowSearchers,
-    SuspectsLearnt,
+    SuspectsReceived,
 )
 from greengagemoor.forward import (
     arrivals,
@@ -76,13 +76,13 @@
         Args:
             now: seconds of a monotonic clock.
             msgs: ``Arrived``, ``CallerGone``, ``AttemptEnded``,
-                ``AnswerWritten``, ``SearcherLearnt``, ``SlowSearchers``,
-                ``EvacuationsLearnt``, ``ProbeEnded``, ``SuspectsLearnt``,
+                ``AnswerWritten``, ``SearcherUpdated``, ``SlowSearchers``,
+                ``EvacuationsUpdated``, ``ProbeEnded``, ``SuspectsReceived``,
                 ``TrialVerdict``, ``FromPeer``, ``PeerUp``, ``PeerDown``.
 
         Returns:
             ``StartAttempt``, ``CancelAttempt``, ``CloseIdle``, ``Respond``,
-            ``SlowSeen``, ``ProbeSearcher``, ``SuspectsSeen``,
+            ``SlowSendObserved``, ``ProbeSearcher``, ``SuspectsObserved``,
             ``ClaimTrial``, ``ReleaseTrialClaim``, ``StandingChanged``,
             ``ToPeer``, ``PartOpened`` and ``PartClosed``.
         """
@@ -160,18 +160,18 @@
                 completion.finish(self.tables, request, Ending.CALLER_GONE)
         elif isinstance(msg, AnswerWritten):
             self.tables.answer_delay.note(msg.delay_s)
-        elif isinstance(msg, SearcherLearnt):
+        elif isinstance(msg, SearcherUpdated):
             for ended_msg in searchers.apply_row(self.tables, msg.row):
                 self._handle_ended(ended_msg)
         elif isinstance(msg, SlowSearchers):
             searchers.mark_slow(self.tables, msg)
-        elif isinstance(msg, EvacuationsLearnt):
+        elif isinstance(msg, EvacuationsUpdated):
             searchers.apply_evacuations(self.tables, msg)
         elif isinstance(msg, ProbeEnded):
             evidence.handle_probe_result(
                 self.tables, msg.searcher, refused=msg.refused
             )
-        elif isinstance(msg, SuspectsLearnt):
+        elif isinstance(msg, SuspectsReceived):
             for row in msg.rows:
                 evidence.merge_received_row(self.tables, row)
         elif isinstance(msg, TrialVerdict):
--- a/greengagemoor/forward/entry_decider.py
+++ b/greengagemoor/forward/entry_decider.py
@@ -6,7 +6,7 @@
 
 from greengagemoor.control.messages import OpReply, Received
 from greengagemoor.feed import messages as feed
-from greengagemoor.feed.view import View
+from greengagemoor.feed.view import FeedView
 from greengagemoor.forward.claiming import TrialClaims
 from greengagemoor.forward.decider import ForwardDecider
 from greengagemoor.forward.messages import (
@@ -23,14 +23,14 @@
 
 _FOR_VIEW = (feed.LinkUp, feed.LinkDown, Received)
 _FOR_FORWARD = (
-    feed.SearcherLearnt,
+    feed.SearcherUpdated,
     feed.SlowSearchers,
-    feed.SuspectsLearnt,
-    feed.EvacuationsLearnt,
+    feed.SuspectsReceived,
+    feed.EvacuationsUpdated,
     TrialVerdict,
 )
 _FOR_CLAIMS = (ClaimTrial, ReleaseTrialClaim)
-_OBSERVATIONS = (feed.SlowSeen, feed.SuspectsSeen)
+_OBSERVATIONS = (feed.SlowSendObserved, feed.SuspectsObserved)
 _INTERNAL = _FOR_CLAIMS + _OBSERVATIONS
 
 
@@ -54,7 +54,7 @@
         """
         self.forward = ForwardDecider(me.data_centre, rng, policy, me.name)
         suspects = self.forward.tables.suspects
-        self.view = View(
+        self.view = FeedView(
             me.name, me.address, me.data_centre, suspects, me.peer_address
         )
         self._claims = TrialClaims(me.name, rng)
@@ -64,7 +64,7 @@
 
         Args:
             now: seconds of a clock that doesn't go back.
-            msgs: messages of ``View`` and ``ForwardDecider``.
+            msgs: messages of ``FeedView`` and ``ForwardDecider``.
 
         Returns:
             Output messages of both, in order.
--- a/greengagemoor/forward/evidence.py
+++ b/greengagemoor/forward/evidence.py
@@ -18,7 +18,7 @@
 from greengagemoor.feed.messages import (
     StandingChanged,
     Suspect,
-    SuspectsSeen,
+    SuspectsObserved,
 )
 from greengagemoor.feed.suspects import Standing, cleared, standing_of
 from greengagemoor.forward.messages import ProbeSearcher
@@ -190,7 +190,7 @@
     known = tuple(row for row in rows if row is not None)
     tables.unreported.clear()
     if known:
-        tables.out.append(SuspectsSeen(known))
+        tables.out.append(SuspectsObserved(known))
 
 
 def _is_only_cause(
--- a/greengagemoor/forward/searchers.py
+++ b/greengagemoor/forward/searchers.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from greengagemoor.feed.messages import (
-        EvacuationsLearnt,
+        EvacuationsUpdated,
         SearcherRow,
         SlowSearchers,
     )
@@ -100,7 +100,7 @@
             searcher.slow_until = tables.now + msg.for_s
 
 
-def apply_evacuations(tables: Tables, msg: EvacuationsLearnt) -> None:
+def apply_evacuations(tables: Tables, msg: EvacuationsUpdated) -> None:
     """Updates the set of evacuated data centres.
 
     Sends under way there complete normally. Idle connections are closed, as a
--- a/greengagemoor/forward/selection.py
+++ b/greengagemoor/forward/selection.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from greengagemoor.feed.messages import SearcherState, SlowSeen
+from greengagemoor.feed.messages import SearcherState, SlowSendObserved
 from greengagemoor.forward import cold_start
 from greengagemoor.util import values
 
@@ -165,7 +165,7 @@
     row.answered_at = tables.now
     row.failures = 0
     if ratio >= SLOW_RATIO:
-        tables.out.append(SlowSeen(row.key))
+        tables.out.append(SlowSendObserved(row.key))
     _update_failure_rate(tables, row, failed=False)
 
 
--- a/greengagemoor/serving/beliefs.py
+++ b/greengagemoor/serving/beliefs.py
@@ -59,13 +59,13 @@
         msg: output message of the decider.
         document: number of the document in force at the entry.
     """
-    if isinstance(msg, feed.SearcherLearnt):
+    if isinstance(msg, feed.SearcherUpdated):
         _log_searcher(msg.row)
     elif isinstance(msg, feed.SlowSearchers):
         _log_slow(msg)
-    elif isinstance(msg, feed.DifferenceRefused):
+    elif isinstance(msg, feed.DifferenceRejected):
         _log_rejected_difference(msg)
-    elif isinstance(msg, feed.EvacuationsLearnt):
+    elif isinstance(msg, feed.EvacuationsUpdated):
         tell_evacuations(msg.rows)
     elif isinstance(msg, feed.ReadyChanged):
         log.event("ready", ready=msg.ready, document=document)
@@ -147,7 +147,7 @@
     log.event("searcher_slow", searcher=ids, for_s=msg.for_s)
 
 
-def _log_rejected_difference(msg: feed.DifferenceRefused) -> None:
+def _log_rejected_difference(msg: feed.DifferenceRejected) -> None:
     """Logs why a difference is rejected; the whole document is fetched."""
     log.event(
         "difference_refused",
--- a/greengagemoor/serving/control.py
+++ b/greengagemoor/serving/control.py
@@ -19,7 +19,7 @@
 from greengagemoor.control.state import Timing
 from greengagemoor.errors import DocumentError, InvalidInputError
 from greengagemoor.feed import messages as feed
-from greengagemoor.feed.hub import Hub
+from greengagemoor.feed.hub import FeedHub
 from greengagemoor.feed.timing import Timing as HubTiming
 from greengagemoor.serving import dialect as calls
 from greengagemoor.serving import inboxes, opencalls
@@ -57,7 +57,7 @@
         self._dialect = dialect
         self._ticker = Ticker(self.clock, self._tick)
         self._links = Links(cfg.instance, cfg.peer_address, self._ticker.put)
-        self._hub = Hub(HubTiming(announce=cfg.announce_s), cfg.instance)
+        self._hub = FeedHub(HubTiming(announce=cfg.announce_s), cfg.instance)
         self._client = ControlClient([cfg.instance], self._rng)
         self._durable = Durable(
             cfg.data_folder,
@@ -144,10 +144,12 @@
             self._bad_calls.note(self.clock.now(), req.target, exc)
             call = None
         if isinstance(call, calls.AnnounceCall):
-            self._ticker.put(feed.Announced(self._calls.open(req), call.row))
+            self._ticker.put(
+                feed.SearcherAnnounced(self._calls.open(req), call.row)
+            )
         elif isinstance(call, calls.LeaveCall):
             self._ticker.put(
-                feed.Leaving(
+                feed.SearcherLeaving(
                     self._calls.open(req), call.searcher_id, call.start
                 )
             )
@@ -207,10 +209,10 @@
             inbox.append(msg)
         elif isinstance(msg, control.EvacuationsAccepted):
             inbox.append(msg)
-        elif isinstance(msg, feed.AnnouncementTaken):
+        elif isinstance(msg, feed.AnnouncementAccepted):
             reply = self._dialect.write_announced(self.cfg.control_address)
             self._calls.answer(msg.token, reply)
-        elif isinstance(msg, feed.AnnouncementRefused):
+        elif isinstance(msg, feed.AnnouncementRejected):
             self._calls.answer(msg.token, self._dialect.write_unheard())
         elif isinstance(msg, feed.StandingChanged):
             self._standing_log.note(self.clock.now(), msg.row)
@@ -253,7 +255,7 @@
         names = {m.instance for m in state.members.values()}
         self._client.targets = sorted(names.union(self._contacts))
         self._hub.set_peers(tuple(sorted(addresses)), frozenset(names))
-        self._hub.set_outside(not state.group)
+        self._hub.set_outside_group(not state.group)
 
     def _gauges(self) -> dict[str, float]:
         return {
--- a/greengagemoor/serving/entry.py
+++ b/greengagemoor/serving/entry.py
@@ -208,7 +208,7 @@
             self._update_links()
         return self._decider.next_wake()
 
-    def _apply_document(self, msg: feed.DocumentLearnt) -> None:
+    def _apply_document(self, msg: feed.DocumentUpdated) -> None:
         try:
             table = self._dialect.read_document(zlib.decompress(msg.packed))
         except DocumentError as exc:
@@ -242,14 +242,14 @@
             self._peers.open(msg)
         elif isinstance(msg, parts.PartClosed):
             self._peers.close(self.clock.now(), msg)
-        elif isinstance(msg, feed.HelpersLearnt):
+        elif isinstance(msg, feed.HelpersUpdated):
             self._peers.want(msg.helpers)
         elif isinstance(msg, CloseIdle):
             self._pool.close_address(msg.address)
         elif isinstance(msg, ProbeSearcher):
             done = partial(self._probe_done, msg.searcher)
             self._pool.probe(msg.address, done)
-        elif isinstance(msg, feed.DocumentLearnt):
+        elif isinstance(msg, feed.DocumentUpdated):
             self._apply_document(msg)
         elif isinstance(msg, feed.StandingChanged):
             self._standing_log.note(self.clock.now(), msg.row)
--- a/greengagemoor/serving/inboxes.py
+++ b/greengagemoor/serving/inboxes.py
@@ -18,8 +18,8 @@
     feed.WantHelpers,
 )
 _HUB_MESSAGES = (
-    feed.Announced,
-    feed.Leaving,
+    feed.SearcherAnnounced,
+    feed.SearcherLeaving,
     feed.LinkUp,
     feed.LinkDown,
     control.NumberedDocumentAccepted,
--- a/tests/test_feed/helpers.py
+++ b/tests/test_feed/helpers.py
@@ -7,10 +7,10 @@
 from greengagemoor.codes import Code
 from greengagemoor.control.messages import OpReply, Received, Send
 from greengagemoor.feed import messages as m
-from greengagemoor.feed.hub import Hub
+from greengagemoor.feed.hub import FeedHub
 from greengagemoor.feed.messages import SearcherState
 from greengagemoor.feed.timing import Timing
-from greengagemoor.feed.view import View
+from greengagemoor.feed.view import FeedView
 
 ANNOUNCE_S = 1.0
 ROW = m.SearcherRow(
@@ -27,7 +27,7 @@
     """Steps a hub under a fake clock."""
 
     def __init__(self):
-        self.hub = Hub(Timing(ANNOUNCE_S))
+        self.hub = FeedHub(Timing(ANNOUNCE_S))
         self.now = 0.0
 
     def step(self, *msgs, after=0.0):
@@ -53,14 +53,14 @@
 
 def acknowledged(out):
     """Returns the tokens of the announcements that may be acknowledged."""
-    return [msg.token for msg in out if isinstance(msg, m.AnnouncementTaken)]
+    return [msg.token for msg in out if isinstance(msg, m.AnnouncementAccepted)]
 
 
 class ViewBench:
     """Steps an entry's view under a fake clock."""
 
     def __init__(self):
-        self.view = View("e1", "10.0.0.9:80", "dc1")
+        self.view = FeedView("e1", "10.0.0.9:80", "dc1")
         self.now = 0.0
 
     def step(self, *msgs, after=0.0):
--- a/tests/test_feed/test_reads.py
+++ b/tests/test_feed/test_document_reads.py
@@ -5,7 +5,7 @@
 from greengagemoor.codes import Code
 from greengagemoor.control.messages import OpReply, OpRequest, Send
 from greengagemoor.feed import messages as m
-from greengagemoor.feed.reads import (
+from greengagemoor.feed.document_reads import (
     MIN_READ_INTERVAL_S,
     OTHERS_PER_ROUND,
     READ_INTERVAL_S,
--- a/tests/test_feed/test_documents.py
+++ b/tests/test_feed/test_documents.py
@@ -47,7 +47,7 @@
     return [
         (x.number, zlib.decompress(x.packed))
         for x in out
-        if isinstance(x, m.DocumentLearnt)
+        if isinstance(x, m.DocumentUpdated)
     ]
 
 
@@ -106,7 +106,7 @@
         bad = m.NumberedDocument(9, whole.packed[:-3] + b"abc", 7)
         view, out = self.view_and_output(bad)
         assert accepted(out) == []
-        (refusal,) = [x for x in out if isinstance(x, m.DifferenceRefused)]
+        (refusal,) = [x for x in out if isinstance(x, m.DifferenceRejected)]
         assert (refusal.source, refusal.number) == ("c1", 9)
         assert Send("c1", m.WantNumbered(0)) in out
         assert view.view.number == 7
--- a/tests/test_feed/test_evacuations.py
+++ b/tests/test_feed/test_evacuations.py
@@ -24,7 +24,7 @@
 
 
 def learnt_rows(out):
-    return [msg.rows for msg in out if isinstance(msg, m.EvacuationsLearnt)]
+    return [msg.rows for msg in out if isinstance(msg, m.EvacuationsUpdated)]
 
 
 class TestHub:
--- a/tests/test_feed/test_hub.py
+++ b/tests/test_feed/test_hub.py
@@ -30,14 +30,16 @@
 
     def test_all_rows_to_a_new_entry(self):
         bench = HubBench()
-        bench.step(m.Announced(1, ROW))
+        bench.step(m.SearcherAnnounced(1, ROW))
         assert rows_to(bench.subscribe()) == [ROW]
 
     def test_renewal_is_not_sent(self):
         bench = HubBench()
         bench.subscribe()
-        bench.step(m.Announced(1, ROW))
-        out = bench.step(m.Announced(2, row(sequence=2)), after=ANNOUNCE_S)
+        bench.step(m.SearcherAnnounced(1, ROW))
+        out = bench.step(
+            m.SearcherAnnounced(2, row(sequence=2)), after=ANNOUNCE_S
+        )
         assert not rows_to(out)
         assert 2 in acknowledged(out)
 
@@ -45,14 +47,14 @@
         """Another control instance may have marked the searcher lost."""
         bench = HubBench()
         bench.subscribe()
-        bench.step(m.Announced(1, ROW))
-        out = bench.step(m.Announced(2, row(sequence=9)), after=3.0)
+        bench.step(m.SearcherAnnounced(1, ROW))
+        out = bench.step(m.SearcherAnnounced(2, row(sequence=9)), after=3.0)
         assert rows_to(out) == [row(sequence=9)]
 
     def test_silent_searcher_is_lost(self):
         bench = HubBench()
         bench.subscribe()
-        bench.step(m.Announced(1, ROW))
+        bench.step(m.SearcherAnnounced(1, ROW))
         (lost,) = rows_to(bench.step(after=4 * ANNOUNCE_S))
         assert lost.state is SearcherState.LOST
 
@@ -62,10 +64,12 @@
 
     def drain(self, bench):
         bench.subscribe()
-        bench.step(m.Announced(1, ROW))
+        bench.step(m.SearcherAnnounced(1, ROW))
         bench.step(Received("e1", m.RowsTaken(1)))
         return bench.step(
-            m.Announced(2, row(sequence=2, state=SearcherState.DRAINING))
+            m.SearcherAnnounced(
+                2, row(sequence=2, state=SearcherState.DRAINING)
+            )
         )
 
     def test_waits_for_the_entry(self):
@@ -96,23 +100,25 @@
     def test_delayed_announcement_is_ignored(self):
         bench = HubBench()
         bench.subscribe()
-        bench.step(m.Announced(1, ROW))
-        out = bench.step(m.Announced(2, row(searcher_id="i2", service="t")))
+        bench.step(m.SearcherAnnounced(1, ROW))
+        out = bench.step(
+            m.SearcherAnnounced(2, row(searcher_id="i2", service="t"))
+        )
         assert [(r.searcher_id, r.state) for r in rows_to(out)] == [
             ("i1", SearcherState.GONE),
             ("i2", SearcherState.READY),
         ]
-        out = bench.step(m.Announced(3, row(sequence=2)))
+        out = bench.step(m.SearcherAnnounced(3, row(sequence=2)))
         assert not rows_to(out)
         assert acknowledged(out) == [3]
 
     def test_leaving_is_final(self):
         bench = HubBench()
         bench.subscribe()
-        bench.step(m.Announced(1, ROW))
-        (gone,) = rows_to(bench.step(m.Leaving(2, "i1")))
+        bench.step(m.SearcherAnnounced(1, ROW))
+        (gone,) = rows_to(bench.step(m.SearcherLeaving(2, "i1")))
         assert gone.state is SearcherState.GONE
-        assert not rows_to(bench.step(m.Announced(3, row(sequence=7))))
+        assert not rows_to(bench.step(m.SearcherAnnounced(3, row(sequence=7))))
 
 
 class TestRestart:
@@ -120,10 +126,10 @@
 
     def test_restored_rows_are_sent_at_once_and_expire(self):
         first = HubBench()
-        first.step(m.Announced(1, ROW))
-        kept = first.hub.kept_rows()
+        first.step(m.SearcherAnnounced(1, ROW))
+        kept = first.hub.rows_to_store()
         bench = HubBench()
-        bench.hub.begin_with(bench.now, kept.rows)
+        bench.hub.restore(bench.now, kept.rows)
         assert set(rows_to(bench.subscribe())) == {ROW}
         (lost,) = rows_to(bench.step(after=3 * ANNOUNCE_S))
         assert lost.state is SearcherState.LOST
@@ -138,8 +144,8 @@
         """
         bench = HubBench()
         bench.now = 1e9
-        bench.hub.begin_with(bench.now, [ROW])
-        bench.hub.begin_with_others(bench.now, [TestOtherInstances.OTHER])
+        bench.hub.restore(bench.now, [ROW])
+        bench.hub.restore_peer_rows(bench.now, [TestOtherInstances.OTHER])
         assert set(rows_to(bench.subscribe())) == {
             ROW,
             TestOtherInstances.OTHER,
@@ -164,7 +170,7 @@
         bench.step(m.LinkUp("c2"))
         rows = m.SearcherRows(1, True, (self.OTHER,))
         self.out = bench.step(Received("c2", rows))
-        bench.step(m.Announced(1, ROW))
+        bench.step(m.SearcherAnnounced(1, ROW))
         return bench
 
     def test_asks_each_linked_instance_once(self):
@@ -188,15 +194,15 @@
         assert rows_to(out, "c2") == [ROW]
 
     def test_all_rows_are_restored_after_a_restart(self):
-        kept = self.linked().hub.kept_others()
+        kept = self.linked().hub.peer_rows_to_store()
         bench = HubBench()
-        bench.hub.begin_with_others(bench.now, kept.rows)
+        bench.hub.restore_peer_rows(bench.now, kept.rows)
         assert rows_to(bench.subscribe()) == [self.OTHER]
 
     def test_unconfirmed_restored_row_expires(self):
-        kept = self.linked().hub.kept_others()
+        kept = self.linked().hub.peer_rows_to_store()
         bench = HubBench()
-        bench.hub.begin_with_others(bench.now, kept.rows)
+        bench.hub.restore_peer_rows(bench.now, kept.rows)
         bench.step(after=4 * ANNOUNCE_S)
         assert rows_to(bench.subscribe()) == []
 
@@ -209,10 +215,10 @@
         """One that missed it would send later entries the row as ready."""
         bench = HubBench()
         bench.step(Received("c2", self.PEER))
-        bench.step(m.Announced(1, ROW))
+        bench.step(m.SearcherAnnounced(1, ROW))
         bench.step(Received("c2", m.RowsTaken(1)))
         gone = row(sequence=2, state=SearcherState.DRAINING)
-        assert acknowledged(bench.step(m.Announced(2, gone))) == []
+        assert acknowledged(bench.step(m.SearcherAnnounced(2, gone))) == []
         assert acknowledged(bench.step(Received("c2", m.RowsTaken(2)))) == [2]
 
 
@@ -265,14 +271,14 @@
     def test_new_warm_up_is_sent_at_once(self):
         bench = HubBench()
         bench.subscribe()
-        bench.step(m.Announced(1, row(sequence=1)))
+        bench.step(m.SearcherAnnounced(1, row(sequence=1)))
         again = row(sequence=2, cold_left_s=3.0)
-        out = bench.step(m.Announced(2, again), after=1.0)
+        out = bench.step(m.SearcherAnnounced(2, again), after=1.0)
         assert rows_to(out) == [again]
 
     def test_continued_warm_up_is_not_sent(self):
         bench = HubBench()
         bench.subscribe()
-        bench.step(m.Announced(1, row(sequence=1, cold_left_s=3.0)))
+        bench.step(m.SearcherAnnounced(1, row(sequence=1, cold_left_s=3.0)))
         later = row(sequence=2, cold_left_s=2.0)
-        assert not rows_to(bench.step(m.Announced(2, later), after=1.0))
+        assert not rows_to(bench.step(m.SearcherAnnounced(2, later), after=1.0))
--- a/tests/test_feed/test_new_start.py
+++ b/tests/test_feed/test_new_start.py
@@ -9,7 +9,7 @@
 from greengagemoor.control.messages import Received, Send
 from greengagemoor.feed import messages as m
 from greengagemoor.feed.messages import SearcherState
-from greengagemoor.feed.rows import newer
+from greengagemoor.feed.peer_rows import newer
 from greengagemoor.feed.slowness import MIN_SLICES, SLICE_S
 from greengagemoor.wire import codec
 from tests.test_feed.helpers import (
@@ -43,46 +43,46 @@
     def test_first_announcement_of_a_new_start_is_sent(self):
         bench = HubBench()
         bench.subscribe()
-        bench.step(m.Announced(1, OLD))
-        out = bench.step(m.Announced(2, NEW), after=0.1)
+        bench.step(m.SearcherAnnounced(1, OLD))
+        out = bench.step(m.SearcherAnnounced(2, NEW), after=0.1)
         assert rows_to(out) == [NEW]
 
     def test_new_start_is_sent_after_the_old_one_was_lost_and_gone(self):
         bench = HubBench()
         bench.subscribe()
-        bench.step(m.Announced(1, OLD))
+        bench.step(m.SearcherAnnounced(1, OLD))
         bench.step(after=4 * ANNOUNCE_S)
-        bench.step(m.Leaving(2, "i1", 1_000))
-        assert rows_to(bench.step(m.Announced(3, NEW))) == [NEW]
+        bench.step(m.SearcherLeaving(2, "i1", 1_000))
+        assert rows_to(bench.step(m.SearcherAnnounced(3, NEW))) == [NEW]
 
     def test_announcement_of_an_older_start_is_ignored(self):
         bench = HubBench()
         bench.subscribe()
-        bench.step(m.Announced(1, NEW))
+        bench.step(m.SearcherAnnounced(1, NEW))
         late = row(start=1_000, sequence=99, state=SearcherState.DRAINING)
-        out = bench.step(m.Announced(2, late))
+        out = bench.step(m.SearcherAnnounced(2, late))
         assert rows_to(out) == []
         assert acknowledged(out) == [2]
 
     def test_leave_of_an_older_start_is_ignored(self):
         bench = HubBench()
         bench.subscribe()
-        bench.step(m.Announced(1, NEW))
-        bench.step(m.Leaving(2, "i1", 1_000))
+        bench.step(m.SearcherAnnounced(1, NEW))
+        bench.step(m.SearcherLeaving(2, "i1", 1_000))
         assert states(bench) == {"i1": (2_000, SearcherState.READY)}
 
     def test_leave_of_an_unknown_start_ends_it(self):
         bench = HubBench()
         bench.subscribe()
-        bench.step(m.Announced(1, OLD))
-        bench.step(m.Leaving(2, "i1", 2_000))
-        assert rows_to(bench.step(m.Announced(3, NEW))) == []
+        bench.step(m.SearcherAnnounced(1, OLD))
+        bench.step(m.SearcherLeaving(2, "i1", 2_000))
+        assert rows_to(bench.step(m.SearcherAnnounced(3, NEW))) == []
         assert states(bench) == {"i1": (2_000, SearcherState.GONE)}
 
     def test_leave_without_a_start_ends_the_newest(self):
         bench = HubBench()
-        bench.step(m.Announced(1, NEW))
-        bench.step(m.Leaving(2, "i1"))
+        bench.step(m.SearcherAnnounced(1, NEW))
+        bench.step(m.SearcherLeaving(2, "i1"))
         assert states(bench) == {"i1": (2_000, SearcherState.GONE)}
 
     def test_leave_without_a_start_of_a_searcher_known_from_a_peer(self):
@@ -90,16 +90,18 @@
         bench.hub.set_peers(("10.0.0.2:1",), frozenset({"c2"}))
         bench.step(m.LinkUp("c2"))
         bench.step(Received("c2", m.SearcherRows(1, True, (NEW,))))
-        bench.step(m.Leaving(1, "i1"))
+        bench.step(m.SearcherLeaving(1, "i1"))
         assert states(bench)["i1"] == (2_000, SearcherState.GONE)
 
     def test_new_start_replaces_a_restored_row(self):
         first = HubBench()
-        first.step(m.Announced(1, OLD))
+        first.step(m.SearcherAnnounced(1, OLD))
         bench = HubBench()
-        kept = codec.decode(codec.encode(first.hub.kept_rows()), m.SearcherRows)
-        bench.hub.begin_with(bench.now, kept.rows)
-        bench.step(m.Announced(1, NEW))
+        kept = codec.decode(
+            codec.encode(first.hub.rows_to_store()), m.SearcherRows
+        )
+        bench.hub.restore(bench.now, kept.rows)
+        bench.step(m.SearcherAnnounced(1, NEW))
         assert states(bench) == {"i1": (2_000, SearcherState.READY)}
 
 
@@ -110,10 +112,12 @@
 
     def test_address_is_reused_then_the_id_restarts_elsewhere(self):
         bench = HubBench()
-        bench.step(m.Announced(1, OLD))
-        bench.step(m.Announced(2, self.SUCCESSOR))
+        bench.step(m.SearcherAnnounced(1, OLD))
+        bench.step(m.SearcherAnnounced(2, self.SUCCESSOR))
         bench.step(
-            m.Announced(3, row(start=2_000, sequence=1, address="10.0.0.7:80"))
+            m.SearcherAnnounced(
+                3, row(start=2_000, sequence=1, address="10.0.0.7:80")
+            )
         )
         assert states(bench) == {
             "i1": (2_000, SearcherState.READY),
@@ -128,11 +132,13 @@
         which was marked gone and got no more requests.
         """
         bench = HubBench()
-        bench.step(m.Announced(1, OLD))
+        bench.step(m.SearcherAnnounced(1, OLD))
         bench.step(
-            m.Announced(2, row(start=2_000, sequence=1, address="10.0.0.7:80"))
+            m.SearcherAnnounced(
+                2, row(start=2_000, sequence=1, address="10.0.0.7:80")
+            )
         )
-        bench.step(m.Announced(3, self.SUCCESSOR))
+        bench.step(m.SearcherAnnounced(3, self.SUCCESSOR))
         assert states(bench) == {
             "i1": (2_000, SearcherState.READY),
             "i2": (1_500, SearcherState.READY),
@@ -140,9 +146,9 @@
 
     def test_id_restarts_at_the_address_it_had_lost(self):
         bench = HubBench()
-        bench.step(m.Announced(1, OLD))
-        bench.step(m.Announced(2, self.SUCCESSOR))
-        bench.step(m.Announced(3, NEW))
+        bench.step(m.SearcherAnnounced(1, OLD))
+        bench.step(m.SearcherAnnounced(2, self.SUCCESSOR))
+        bench.step(m.SearcherAnnounced(3, NEW))
         assert states(bench) == {
             "i1": (2_000, SearcherState.READY),
             "i2": (1_500, SearcherState.GONE),
@@ -152,12 +158,12 @@
         """Such an announcement may come from another writer."""
         bench = HubBench()
         bench.hub.set_services(frozenset({"s"}))
-        bench.step(m.Announced(1, OLD))
-        bench.step(m.Announced(2, self.SUCCESSOR))
+        bench.step(m.SearcherAnnounced(1, OLD))
+        bench.step(m.SearcherAnnounced(2, self.SUCCESSOR))
         assert states(bench)["i1"] == (1_000, SearcherState.READY)
         bench.hub.set_services(frozenset({"s", "t"}))
         again = row(searcher_id="i2", service="t", start=1_500, sequence=2)
-        bench.step(m.Announced(3, again))
+        bench.step(m.SearcherAnnounced(3, again))
         assert states(bench)["i1"] == (1_000, SearcherState.GONE)
 
 
@@ -201,7 +207,7 @@
             bench.receive(m.SearcherRows(1, False, (sent[i],)), f"c{i}")
         late = row(start=1_000, sequence=99)
         out = bench.receive(m.SearcherRows(2, False, (late,)))
-        assert not [x for x in out if isinstance(x, m.SearcherLearnt)]
+        assert not [x for x in out if isinstance(x, m.SearcherUpdated)]
 
     @given(a=ROWS, b=ROWS, c=ROWS)
     def test_no_older_start_ever_wins(self, a, b, c):
--- a/tests/test_feed/test_shares.py
+++ b/tests/test_feed/test_shares.py
@@ -8,9 +8,9 @@
 
 from greengagemoor.control.messages import Received, Send
 from greengagemoor.feed import messages as m
-from greengagemoor.feed.hub import Hub
+from greengagemoor.feed.hub import FeedHub
 from greengagemoor.feed.timing import Timing
-from greengagemoor.feed.view import View
+from greengagemoor.feed.view import FeedView
 from greengagemoor.forward import searchers
 from greengagemoor.forward.policy import Policy
 from greengagemoor.forward.tables import Tables
@@ -29,16 +29,16 @@
     def __init__(self, seed=1):
         self.now = 0.0
         self.rng = random.Random(seed)
-        self.hubs = {name: Hub(Timing(1.0), name) for name in HUBS}
+        self.hubs = {name: FeedHub(Timing(1.0), name) for name in HUBS}
         self.stored_entries = dict.fromkeys(HUBS, 0)
-        self.views: dict[str, View] = {}
+        self.views: dict[str, FeedView] = {}
         self.partitioned: set[tuple[str, str]] = set()
 
     def join(self, names):
         """Starts or restarts entries without any state."""
         for name in names:
             self.kill([name])
-            self.views[name] = View(name, f"{name}:80", "dc1")
+            self.views[name] = FeedView(name, f"{name}:80", "dc1")
         self.deliver_all(self.link(names))
 
     def link(self, names):
@@ -74,11 +74,13 @@
 
     def lose_power(self):
         """Stops everything; hubs restart with the stored number of entries."""
-        self.stored_entries = {n: h.entries_seen for n, h in self.hubs.items()}
+        self.stored_entries = {
+            n: h.recent_entry_count for n, h in self.hubs.items()
+        }
         self.views.clear()
         for name in HUBS:
-            self.hubs[name] = Hub(Timing(1.0), name)
-            self.hubs[name].begin_with_entries(
+            self.hubs[name] = FeedHub(Timing(1.0), name)
+            self.hubs[name].restore_entry_count(
                 self.now, self.stored_entries[name]
             )
 
--- a/tests/test_feed/test_slowness.py
+++ b/tests/test_feed/test_slowness.py
@@ -7,7 +7,7 @@
 from greengagemoor.feed.slowness import (
     FIRST_AVOID_S,
     MAX_AVOID_S,
-    SlowTable,
+    SlowSearcherTable,
 )
 from tests.test_feed.helpers import HubBench, ViewBench
 
@@ -25,18 +25,20 @@
     def test_pause_does_not_count(self):
         """A pause delays several sends at the same time."""
         times = [1.0 + 0.05 * i for i in range(12)]
-        assert note_at(SlowTable(), *times, 2.1) == [None] * 13
+        assert note_at(SlowSearcherTable(), *times, 2.1) == [None] * 13
 
     def test_reports_over_time_count(self):
         times = [1.1 + 0.2 * i for i in range(5)]
-        assert note_at(SlowTable(), *times) == [None] * 4 + [FIRST_AVOID_S]
+        assert note_at(SlowSearcherTable(), *times) == [None] * 4 + [
+            FIRST_AVOID_S
+        ]
 
     def test_old_reports_do_not_count(self):
         times = [1.1, 1.3, 1.5, 1.7, 5.1, 5.3, 5.5, 5.7]
-        assert note_at(SlowTable(), *times) == [None] * 8
+        assert note_at(SlowSearcherTable(), *times) == [None] * 8
 
     def test_relapse_is_avoided_longer_up_to_a_bound(self):
-        table = SlowTable()
+        table = SlowSearcherTable()
         now, spans = 0.0, []
         for _ in range(4):
             *_, span = note_at(table, *(now + 0.1 + 0.2 * i for i in range(5)))
@@ -54,7 +56,7 @@
         view.step(m.LinkUp("c1"))
         sent = []
         for _ in range(9):
-            sent += view.step(m.SlowSeen(KEY), after=0.15)
+            sent += view.step(m.SlowSendObserved(KEY), after=0.15)
         reports = [x for x in sent if isinstance(x.payload, m.SlowReport)]
         assert reports
         bench = HubBench()
--- a/tests/test_feed/test_suspects.py
+++ b/tests/test_feed/test_suspects.py
@@ -202,7 +202,7 @@
         bench, other = HubBench(), HubBench()
         rows = (ended("a"), ended("a", "b", "c", fingerprint=b"g"))
         bench.step(Received("e1", SuspectRows(rows)))
-        kept = bench.hub.suspects.kept()
+        kept = bench.hub.suspects.rows_to_store()
         read = codec.decode(codec.encode(kept), SuspectRows)
-        other.hub.suspects.begin_with(read.rows)
-        assert other.hub.suspects.kept() == kept
+        other.hub.suspects.restore(read.rows)
+        assert other.hub.suspects.rows_to_store() == kept
--- a/tests/test_feed/test_view.py
+++ b/tests/test_feed/test_view.py
@@ -43,14 +43,14 @@
             sender, sent_row = sent[i]
             bench.receive(m.SearcherRows(1, False, (sent_row,)), sender)
         out = bench.receive(m.SearcherRows(2, False, (row(sequence=5),)))
-        assert not [x for x in out if isinstance(x, m.SearcherLearnt)]
+        assert not [x for x in out if isinstance(x, m.SearcherUpdated)]
 
     def test_gone_is_final(self):
         bench = ViewBench()
         gone = row(state=SearcherState.GONE, sequence=2)
         bench.receive(m.SearcherRows(1, False, (gone,)))
         out = bench.receive(m.SearcherRows(1, False, (row(sequence=8),)), "c2")
-        assert not [x for x in out if isinstance(x, m.SearcherLearnt)]
+        assert not [x for x in out if isinstance(x, m.SearcherUpdated)]
 
     def test_fetches_elsewhere_when_a_source_is_silent(self):
         bench = ViewBench()
@@ -63,7 +63,7 @@
         bench = ViewBench()
         bench.receive(m.NumberedDocument(5, b"five"))
         out = bench.receive(m.NumberedDocument(4, b"four"))
-        assert not [x for x in out if isinstance(x, m.DocumentLearnt)]
+        assert not [x for x in out if isinstance(x, m.DocumentUpdated)]
         assert bench.view.number == 5
 
 
--- a/tests/test_forward/helpers.py
+++ b/tests/test_forward/helpers.py
@@ -5,9 +5,9 @@
 import random
 
 from greengagemoor.feed.messages import (
-    SearcherLearnt,
     SearcherRow,
     SearcherState,
+    SearcherUpdated,
 )
 from greengagemoor.forward import messages as m
 from greengagemoor.forward.decider import ForwardDecider
@@ -77,7 +77,7 @@
         row = SearcherRow(
             searcher_id, service, address, data_centre, state, seq, 5, 0.0
         )
-        return self.step(SearcherLearnt(row))
+        return self.step(SearcherUpdated(row))
 
     def step(self, *msgs, after=0.0):
         """Advances the clock, then ticks; returns the output."""
--- a/tests/test_forward/test_cold_start.py
+++ b/tests/test_forward/test_cold_start.py
@@ -10,10 +10,10 @@
 
 from greengagemoor.control.evacuations import Evacuation
 from greengagemoor.feed.messages import (
-    EvacuationsLearnt,
-    SearcherLearnt,
+    EvacuationsUpdated,
     SearcherRow,
     SearcherState,
+    SearcherUpdated,
 )
 from greengagemoor.forward.decider import ForwardDecider
 from greengagemoor.forward.messages import Ending, Outcome
@@ -56,14 +56,14 @@
 
     def learn(self):
         for decider in self.entries.values():
-            decider.step(self.now, [SearcherLearnt(row())])
+            decider.step(self.now, [SearcherUpdated(row())])
 
     def kill(self, share):
         """Kills entries, which restart at once and learn of the searcher."""
         names = sorted(self.entries)
         for name in self.rng.sample(names, int(share * len(names))):
             self.entries[name] = self.make(name)
-            self.entries[name].step(self.now, [SearcherLearnt(row())])
+            self.entries[name].step(self.now, [SearcherUpdated(row())])
 
     def send_from_all(self):
         """Sends from each entry that may; no send is answered."""
@@ -118,7 +118,7 @@
     def bench(self, rules=RULES, **more):
         bench = Bench(searchers=0)
         bench.decider.set_routes(RouteTable(1, (), {"s0": rules}, None))
-        bench.step(SearcherLearnt(row(**more)))
+        bench.step(SearcherUpdated(row(**more)))
         return bench
 
     def test_warm_searcher_is_not_limited(self):
@@ -153,7 +153,7 @@
     def test_searchers_are_cold_after_an_evacuation(self):
         """Guards against a burst from all entries when it ends."""
         bench = self.bench(cold_s=0.0)
-        bench.step(EvacuationsLearnt((Evacuation("dc1", 1, True),)))
-        bench.step(EvacuationsLearnt((Evacuation("dc1", 2, False),)))
+        bench.step(EvacuationsUpdated((Evacuation("dc1", 1, True),)))
+        bench.step(EvacuationsUpdated((Evacuation("dc1", 2, False),)))
         assert starts(bench.arrive(single()))
         assert not starts(bench.arrive(single()))
--- a/tests/test_forward/test_evacuations.py
+++ b/tests/test_forward/test_evacuations.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from greengagemoor.control.evacuations import Evacuation
-from greengagemoor.feed.messages import EvacuationsLearnt, SearcherState
+from greengagemoor.feed.messages import EvacuationsUpdated, SearcherState
 from greengagemoor.forward import messages as m
 from greengagemoor.forward.messages import Ending, Outcome
 from tests.test_forward.helpers import Bench, answers, gather, single, starts
 
-START = EvacuationsLearnt((Evacuation("dc2", 1, True),))
-END = EvacuationsLearnt((Evacuation("dc2", 2, False),))
+START = EvacuationsUpdated((Evacuation("dc2", 1, True),))
+END = EvacuationsUpdated((Evacuation("dc2", 2, False),))
 
 
 def two_data_centres(services=1, here=1, there=2):
--- a/tests/test_forward/test_evidence.py
+++ b/tests/test_forward/test_evidence.py
@@ -4,12 +4,12 @@
 
 from greengagemoor.feed.messages import (
     SearcherKey,
-    SearcherLearnt,
     SearcherRow,
     SearcherState,
+    SearcherUpdated,
     Suspect,
-    SuspectsLearnt,
-    SuspectsSeen,
+    SuspectsObserved,
+    SuspectsReceived,
 )
 from greengagemoor.forward.evidence import REPORT_S
 from greengagemoor.forward.messages import Outcome, ProbeEnded, ProbeSearcher
@@ -102,7 +102,7 @@
             0.0,
             start=7,
         )
-        bench.step(SearcherLearnt(row))
+        bench.step(SearcherUpdated(row))
         assert counted_searchers(bench) == [sent.searcher_id]
 
     def test_all_requests_that_ran_there_count(self):
@@ -122,7 +122,7 @@
         sent = break_send(bench)
         bench.step(probe_result(sent))
         out = bench.pass_time(2 * REPORT_S)
-        (seen,) = [msg for msg in out if isinstance(msg, SuspectsSeen)]
+        (seen,) = [msg for msg in out if isinstance(msg, SuspectsObserved)]
         assert seen.rows[0].ended == (SearcherKey(sent.searcher_id),)
 
     def test_query_answered_meanwhile_is_not_reported(self):
@@ -133,7 +133,7 @@
         for one in sent[1:]:
             bench.answer(one)
         out = bench.pass_time(2 * REPORT_S)
-        assert not any(isinstance(msg, SuspectsSeen) for msg in out)
+        assert not any(isinstance(msg, SuspectsObserved) for msg in out)
         assert counted_searchers(bench) == []
 
     def test_answer_is_reported_if_others_reported_an_end(self):
@@ -143,10 +143,10 @@
         bench.end(sent[0], Outcome.BROKEN)
         bench.step(probe_result(sent[0]))
         other = Suspect(b"f", ended=(SearcherKey("elsewhere"),))
-        bench.step(SuspectsLearnt((other,)))
+        bench.step(SuspectsReceived((other,)))
         bench.answer(sent[1])
         bench.pass_time(2 * REPORT_S)
-        (seen,) = [x for x in bench.outputs if isinstance(x, SuspectsSeen)]
+        (seen,) = [x for x in bench.outputs if isinstance(x, SuspectsObserved)]
         assert seen.rows[0].epoch == 1
 
     def test_each_searcher_is_probed_once(self):
--- a/tests/test_forward/test_new_start.py
+++ b/tests/test_forward/test_new_start.py
@@ -4,9 +4,9 @@
 
 from greengagemoor.feed.messages import (
     SearcherKey,
-    SearcherLearnt,
     SearcherRow,
     SearcherState,
+    SearcherUpdated,
     SlowSearchers,
 )
 from greengagemoor.forward.messages import (
@@ -32,7 +32,7 @@
         "cold_left_s": 0.0,
         "start": start,
     }
-    return bench.step(SearcherLearnt(SearcherRow(**{**values, **changes})))
+    return bench.step(SearcherUpdated(SearcherRow(**{**values, **changes})))
 
 
 class TestSendsUnderWay:
--- a/tests/test_forward/test_parts.py
+++ b/tests/test_forward/test_parts.py
@@ -8,13 +8,13 @@
 
 from greengagemoor.control.evacuations import Evacuation
 from greengagemoor.feed.messages import (
-    EvacuationsLearnt,
+    EvacuationsUpdated,
     SearcherKey,
-    SearcherLearnt,
     SearcherRow,
     SearcherState,
+    SearcherUpdated,
     Suspect,
-    SuspectsLearnt,
+    SuspectsReceived,
 )
 from greengagemoor.forward import messages as m
 from greengagemoor.forward import part_messages as p
@@ -78,7 +78,7 @@
             for n in names
             for i in range(3)
         ]
-        decider.step(self.now, [SearcherLearnt(row) for row in rows])
+        decider.step(self.now, [SearcherUpdated(row) for row in rows])
         self.entries[name] = decider
 
     def put(self, name, msg, after=0.0):
@@ -343,7 +343,7 @@
 
     def test_evacuation_at_the_helper(self):
         fleet = Fleet()
-        msg = EvacuationsLearnt((Evacuation("dc1", 1, True),))
+        msg = EvacuationsUpdated((Evacuation("dc1", 1, True),))
         fleet.put("e1", msg)
         fleet.run(0.01)
         fleet.ask()
@@ -379,7 +379,7 @@
         fleet = Fleet()
         ended = tuple(SearcherKey(f"x{i}") for i in range(3))
         suspect = Suspect(b"f" * 16, ended=ended, route="all")
-        fleet.put("e1", SuspectsLearnt((suspect,)))
+        fleet.put("e1", SuspectsReceived((suspect,)))
         fleet.run(0.01)
         fleet.ask(fingerprint=b"f" * 16)
         fleet.run(0.1)
--- a/tests/test_forward/test_trials.py
+++ b/tests/test_forward/test_trials.py
@@ -8,8 +8,8 @@
 from greengagemoor.feed.messages import (
     SearcherKey,
     Suspect,
-    SuspectsLearnt,
-    SuspectsSeen,
+    SuspectsObserved,
+    SuspectsReceived,
 )
 from greengagemoor.feed.suspects import Standing
 from greengagemoor.forward import messages as m
@@ -26,7 +26,7 @@
 
     def __init__(self, **more):
         super().__init__(services=4, **more)
-        self.step(SuspectsLearnt((SUSPECT,)))
+        self.step(SuspectsReceived((SUSPECT,)))
 
     def ask(self, route=ROUTE):
         return self.arrive(route, fingerprint=b"f")
@@ -67,7 +67,7 @@
         assert len(sent) == 3 + 4
         assert bench.standing is Standing.WATCHED
         bench.pass_time(0.01)
-        (seen,) = bench.output(SuspectsSeen)
+        (seen,) = bench.output(SuspectsObserved)
         assert seen.rows[0].epoch == 1
 
     def test_end_of_the_searcher_quarantines(self):
@@ -162,7 +162,7 @@
     def test_late_grant_is_released(self):
         bench = TrialBench()
         bench.ask()
-        bench.step(SuspectsLearnt((Suspect(b"f", epoch=1),)))
+        bench.step(SuspectsReceived((Suspect(b"f", epoch=1),)))
         bench.decide()
         assert len(bench.output(m.ReleaseTrialClaim)) == 1
 
@@ -203,7 +203,7 @@
     def test_cleared_elsewhere(self):
         bench = TrialBench()
         bench.ask()
-        out = bench.step(SuspectsLearnt((Suspect(b"f", epoch=1),)))
+        out = bench.step(SuspectsReceived((Suspect(b"f", epoch=1),)))
         assert len(starts(out)) == 4
 
     def test_quarantined_elsewhere(self):
@@ -212,7 +212,7 @@
         row = Suspect(
             b"f", ended=SUSPECT.ended, failed=(SearcherKey("a"),), sure=True
         )
-        (end,) = answers(bench.step(SuspectsLearnt((row,))))
+        (end,) = answers(bench.step(SuspectsReceived((row,))))
         assert end.ending is Ending.NOT_RUN_QUARANTINED
 
     def test_single_request(self):
--- a/tests/test_serving/test_durable.py
+++ b/tests/test_serving/test_durable.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from greengagemoor.control.messages import Received
-from greengagemoor.feed.hub import Hub
+from greengagemoor.feed.hub import FeedHub
 from greengagemoor.feed.messages import (
     KnownPeers,
     SearcherKey,
@@ -104,7 +104,7 @@
         async def run():
             durable = Durable(str(path), "127.0.0.1", lambda _: None)
             await durable.open()
-            hub = Hub(Timing(1.0), "c1")
+            hub = FeedHub(Timing(1.0), "c1")
             keeper = Keeper(hub, durable)
             keeper.restore(0.0)
             for row in received:
@@ -116,7 +116,7 @@
             await asyncio.sleep(0.1)
             task.cancel()
             await durable.close()
-            return hub.suspects.kept().rows
+            return hub.suspects.rows_to_store().rows
 
         return asyncio.run(run())
 
