--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -404,10 +404,10 @@
     ),
     Mutant(
         "founding: kept with the folder",
-        "serving/durable.py",
+        "serving/durable_state.py",
         "if configured is not None and folder.is_new:",
         "if False:",
-        ("tests/test_serving/test_durable.py",),
+        ("tests/test_serving/test_durable_state.py",),
     ),
     Mutant(
         "repair: a leader's own dead vote",
@@ -505,10 +505,10 @@
     ),
     Mutant(
         "ends: kept over a kill of everything",
-        "serving/keeping.py",
-        "        hub.suspects.restore(durable.kept_suspects())\n",
+        "serving/hub_storage.py",
+        "        hub.suspects.restore(durable.load_suspects())\n",
         "",
-        ("tests/test_serving/test_durable.py",),
+        ("tests/test_serving/test_durable_state.py",),
     ),
     Mutant(
         "ends: a control instance that lost its disk is told",
--- a/greengagemoor/cmd/quarantine.py
+++ b/greengagemoor/cmd/quarantine.py
@@ -7,7 +7,7 @@
 import typer
 
 from greengagemoor.cmd import calls
-from greengagemoor.serving.quarantine import PATH
+from greengagemoor.serving.quarantine import QUARANTINE_PATH
 
 DEFAULT_AT = "127.0.0.1:9464"
 """Metrics address of a control instance."""
@@ -15,7 +15,7 @@
 
 def quarantine_command(at: calls.At = DEFAULT_AT) -> None:
     """Lists the requests that are quarantined or on trial, and why."""
-    reply = calls.call(at, "GET", PATH)
+    reply = calls.call(at, "GET", QUARANTINE_PATH)
     calls.show(reply.body)
     calls.end_with(reply)
 
@@ -25,6 +25,6 @@
     at: calls.At = DEFAULT_AT,
 ) -> None:
     """Lets all entries send a request to searchers again."""
-    reply = calls.call(at, "POST", PATH, {"digest": digest})
+    reply = calls.call(at, "POST", QUARANTINE_PATH, {"digest": digest})
     calls.show(reply.body)
     calls.end_with(reply)
--- a/greengagemoor/platform/dialect.py
+++ b/greengagemoor/platform/dialect.py
@@ -78,13 +78,13 @@
         """Decodes a document; see ``documents.read_document``."""
         return read_document(text)
 
-    def read_request(self, req: HttpRequest) -> d.CallerWords:
+    def read_request(self, req: HttpRequest) -> d.RequestInfo:
         """Reads host, id and deadline of a caller's request."""
         host = (req.header(b"host") or "").partition(":")[0].lower()
         text = req.header(DEADLINE)
         wait_s = float(text) / 1000 if text and text.isdigit() else None
-        return d.CallerWords(
-            host, req.header(REQUEST_ID) or "", patience_s=wait_s
+        return d.RequestInfo(
+            host, req.header(REQUEST_ID) or "", remaining_wait_s=wait_s
         )
 
     def write_attempt(
@@ -111,7 +111,7 @@
         echoed = (v for name, v in headers if name.lower() == REQUEST_ID)
         return next(echoed, request_id.encode()) == request_id.encode()
 
-    def read_answer(self, answer: HttpAnswer) -> d.SearcherWords:
+    def read_answer(self, answer: HttpAnswer) -> d.AttemptResult:
         """Reads a searcher's answer."""
         headers = {name.lower(): value for name, value in answer.headers}
         content = SearcherAnswer(
@@ -125,11 +125,11 @@
             closes=answer.closes,
         )
         if answer.status == 421:
-            return d.SearcherWords(Outcome.WRONG_SEARCHER, content, "421")
+            return d.AttemptResult(Outcome.WRONG_SEARCHER, content, "421")
         if NOT_EXECUTED in headers:
             reason = f"not executed, {answer.status}"
-            return d.SearcherWords(Outcome.NOT_RUN, content, reason)
-        return d.SearcherWords(Outcome.ANSWERED, content)
+            return d.AttemptResult(Outcome.NOT_RUN, content, reason)
+        return d.AttemptResult(Outcome.ANSWERED, content)
 
     def write_answer(self, msg: Respond) -> Reply:
         """Returns the final answer to a caller."""
@@ -182,11 +182,11 @@
             return d.LeaveCall(match[1], _read_leaving_start(req.body))
         return d.AnnounceCall(_read_row(match[1], req.body))
 
-    def write_announced(self, next_address: str) -> Reply:
+    def write_announcement_accepted(self, next_address: str) -> Reply:
         """Acknowledges, with the address for later announcements."""
         return _json(200, {"heartbeat-addr": next_address})
 
-    def write_unheard(self) -> Reply:
+    def write_announcement_rejected(self) -> Reply:
         """Does not acknowledge, so the searcher calls the next instance."""
         return Reply(503, _retry_after(0.1))
 
@@ -273,8 +273,8 @@
             address=fields.address(data["address"]),
             data_centre=fields.text(data["zone"]),
             state=ANNOUNCED_STATES[fields.text(data["state"])],
-            sequence=fields.whole(data["seq-no"]),
-            slots=fields.whole(data["slots"]),
+            sequence=fields.integer(data["seq-no"]),
+            slots=fields.integer(data["slots"]),
             cold_left_s=fields.number(data["cold-left-ms"]) / 1000,
             start=_read_start(data) or 0,
         )
@@ -284,7 +284,7 @@
 
 def _read_start(data: dict[str, Any]) -> int | None:
     """Reads when the searcher started; None if that isn't given."""
-    return fields.whole(data["born"]) if "born" in data else None
+    return fields.integer(data["born"]) if "born" in data else None
 
 
 def _read_leaving_start(body: bytes) -> int | None:
--- a/greengagemoor/platform/documents.py
+++ b/greengagemoor/platform/documents.py
@@ -43,7 +43,7 @@
 
 
 def _table(data: dict[str, Any]) -> RouteTable:
-    version = fields.whole(data["version"], least=1)
+    version = fields.integer(data["version"], minimum=1)
     services = [
         ServiceRules(
             fields.text(item["name"]),
--- a/greengagemoor/platform/fields.py
+++ b/greengagemoor/platform/fields.py
@@ -41,7 +41,7 @@
     return value
 
 
-def whole(value: Any, least: int = 0) -> int:
+def integer(value: Any, minimum: int = 0) -> int:
     """Returns an integer; JSON's true and 1.0 are rejected.
 
     Raises:
@@ -50,8 +50,8 @@
     """
     if type(value) is not int:
         raise TypeError(f"{_abbreviate(value)} is not an integer")
-    if not least <= value <= MAX_INTEGER:
-        raise ValueError(f"number is not within {least} to {MAX_INTEGER}")
+    if not minimum <= value <= MAX_INTEGER:
+        raise ValueError(f"number is not within {minimum} to {MAX_INTEGER}")
     return value
 
 
--- a/greengagemoor/serving/control.py
+++ b/greengagemoor/serving/control.py
@@ -22,12 +22,12 @@
 from greengagemoor.feed.hub import FeedHub
 from greengagemoor.feed.timing import Timing as HubTiming
 from greengagemoor.serving import dialect as calls
-from greengagemoor.serving import inboxes, opencalls
-from greengagemoor.serving.beliefs import Beliefs, StandingLog
-from greengagemoor.serving.durable import Durable
-from greengagemoor.serving.keeping import Keeper
+from greengagemoor.serving import message_dispatch, open_calls
+from greengagemoor.serving.durable_state import DurableState
+from greengagemoor.serving.event_log import ControlStateLog, StandingLog
+from greengagemoor.serving.hub_storage import HubStorage
 from greengagemoor.serving.metrics import ServingMetrics
-from greengagemoor.serving.opencalls import BadCalls, OpenCalls
+from greengagemoor.serving.open_calls import BadCalls, OpenCalls
 from greengagemoor.serving.operators import EvacuationPage, OperatorCalls
 from greengagemoor.serving.quarantine import QuarantinePage
 from greengagemoor.serving.ticker import Ticker
@@ -59,15 +59,15 @@
         self._links = Links(cfg.instance, cfg.peer_address, self._ticker.put)
         self._hub = FeedHub(HubTiming(announce=cfg.announce_s), cfg.instance)
         self._client = ControlClient([cfg.instance], self._rng)
-        self._durable = Durable(
+        self._durable = DurableState(
             cfg.data_folder,
             cfg.instance,
             self._ticker.put_threadsafe,
-            cfg.other_seeds if cfg.founds else None,
+            cfg.other_seeds if cfg.founds_group else None,
         )
-        self._hub_store = Keeper(self._hub, self._durable)
+        self._hub_store = HubStorage(self._hub, self._durable)
         self._decider: ControlDecider | None = None
-        self._state_log = Beliefs()
+        self._state_log = ControlStateLog()
         self._standing_log = StandingLog()
         self._linked_members: dict | None = None
         self._contacts: dict[str, str] = {}
@@ -154,20 +154,20 @@
                 )
             )
         elif isinstance(call, calls.PutCall):
-            self._operators.take_put(req, call)
+            self._operators.handle_put(req, call)
         elif isinstance(call, calls.ReadCall):
-            self._operators.take_read(req)
+            self._operators.handle_read(req)
         elif isinstance(call, calls.EvacuateCall):
-            self._operators.take_evacuate(req, call)
+            self._operators.handle_evacuate(req, call)
         elif isinstance(call, calls.FindEntriesCall):
             entries = self._hub.entries_for_caller()
-            opencalls.answer(req, self._dialect.write_entries(entries))
+            open_calls.answer(req, self._dialect.write_entries(entries))
         else:
-            opencalls.answer(req, self._dialect.write_unknown_call())
+            open_calls.answer(req, self._dialect.write_unknown_call())
 
     def gone(self, req: HttpRequest) -> None:
         """Discards a call whose connection closed; its operation continues."""
-        self._calls.forget(req)
+        self._calls.discard(req)
 
     # Ticks.
 
@@ -187,12 +187,16 @@
     def _step(self, now: float, batch: list, inbox: deque) -> None:
         out = []
         if self._decider is not None:
-            member_msgs = [msg for msg in batch if inboxes.is_for_decider(msg)]
+            member_msgs = [
+                msg for msg in batch if message_dispatch.is_for_member(msg)
+            ]
             out += self._decider.step(now, member_msgs)
             self._update_members()
             self._state_log.note(self._decider)
-        out += self._hub.step(now, filter(inboxes.is_for_hub, batch))
-        out += self._client.step(now, filter(inboxes.is_for_client, batch))
+        out += self._hub.step(now, filter(message_dispatch.is_for_hub, batch))
+        out += self._client.step(
+            now, filter(message_dispatch.is_for_client, batch)
+        )
         for msg in batch:
             if isinstance(msg, control.PersistFailed):
                 self._restart_member()
@@ -210,14 +214,18 @@
         elif isinstance(msg, control.EvacuationsAccepted):
             inbox.append(msg)
         elif isinstance(msg, feed.AnnouncementAccepted):
-            reply = self._dialect.write_announced(self.cfg.control_address)
+            reply = self._dialect.write_announcement_accepted(
+                self.cfg.control_address
+            )
             self._calls.answer(msg.token, reply)
         elif isinstance(msg, feed.AnnouncementRejected):
-            self._calls.answer(msg.token, self._dialect.write_unheard())
+            self._calls.answer(
+                msg.token, self._dialect.write_announcement_rejected()
+            )
         elif isinstance(msg, feed.StandingChanged):
             self._standing_log.note(self.clock.now(), msg.row)
         elif isinstance(msg, Done):
-            self._calls.take_done(msg)
+            self._calls.complete(msg)
         else:
             group_notes.write(msg)
 
--- a/greengagemoor/serving/dialect.py
+++ b/greengagemoor/serving/dialect.py
@@ -27,22 +27,23 @@
 
 
 @values.frozen
-class CallerWords:
+class RequestInfo:
     """Host, id, deadline and client account of a caller's request.
 
     Attributes:
-        patience_s: time until the caller gives up, None if it isn't given.
+        remaining_wait_s: time until the caller gives up, None if it isn't
+            given.
         account: the client account, "" if the request names none.
     """
 
     host: str
     request_id: str
-    patience_s: float | None
+    remaining_wait_s: float | None
     account: str = ""
 
 
 @values.frozen
-class SearcherWords:
+class AttemptResult:
     """Outcome of an attempt, as read from a searcher's answer."""
 
     outcome: Outcome
@@ -121,7 +122,7 @@
             DocumentError: it can't be read in full.
         """
 
-    def read_request(self, req: HttpRequest) -> CallerWords:
+    def read_request(self, req: HttpRequest) -> RequestInfo:
         """Reads host, id, deadline and account of a caller's request."""
 
     def write_attempt(
@@ -132,7 +133,7 @@
     def is_answer_to(self, request_id: str, headers: Headers) -> bool:
         """Returns whether an answer with these headers is to this request."""
 
-    def read_answer(self, answer: HttpAnswer) -> SearcherWords:
+    def read_answer(self, answer: HttpAnswer) -> AttemptResult:
         """Reads a searcher's answer."""
 
     def write_answer(self, msg: Respond) -> Reply:
@@ -154,10 +155,10 @@
             InvalidInputError: the call is malformed.
         """
 
-    def write_announced(self, next_address: str) -> Reply:
+    def write_announcement_accepted(self, next_address: str) -> Reply:
         """Acknowledges an announcement; later ones go to ``next_address``."""
 
-    def write_unheard(self) -> Reply:
+    def write_announcement_rejected(self) -> Reply:
         """Rejects an announcement; another instance may accept it."""
 
     def write_put(self, accepted: bool, faults: str = "") -> Reply:
--- a/greengagemoor/serving/durable.py
+++ b/greengagemoor/serving/durable_state.py
@@ -56,7 +56,7 @@
     founders: dict[str, str] | None
 
 
-class Durable:
+class DurableState:
     """Opens, writes and closes the durable state."""
 
     def __init__(
@@ -143,7 +143,7 @@
         if self._writer is not None:
             self._writer.write(operation)
 
-    async def keep(self, name: str, content: _Kept) -> None:
+    async def store(self, name: str, content: _Kept) -> None:
         """Replaces a file that is read after a restart; logs a failure."""
         if self._folder is None:
             return
@@ -156,17 +156,17 @@
         except OSError as exc:
             log.event("rows_not_kept", level="WARNING", reason=exc)
 
-    def kept_rows(self, name: str) -> tuple[SearcherRow, ...]:
+    def load_searchers(self, name: str) -> tuple[SearcherRow, ...]:
         """Returns the stored rows of searchers; () if missing or damaged."""
         stored = self._read_stored(name, SearcherRows)
         return stored.rows if stored is not None else ()
 
-    def kept_entries(self) -> int:
+    def load_entry_count(self) -> int:
         """Returns the stored number of entries; 0 if missing or damaged."""
         stored = self._read_stored(ENTRIES, KnownPeers)
         return stored.entries if stored is not None else 0
 
-    def kept_suspects(self) -> tuple[Suspect, ...]:
+    def load_suspects(self) -> tuple[Suspect, ...]:
         """Returns the stored rows of suspect requests."""
         stored = self._read_stored(SUSPECTS, SuspectRows)
         return stored.rows if stored is not None else ()
--- a/greengagemoor/serving/entry.py
+++ b/greengagemoor/serving/entry.py
@@ -35,12 +35,12 @@
 )
 from greengagemoor.forward.policy import Policy
 from greengagemoor.routing import routes
-from greengagemoor.serving import beliefs
+from greengagemoor.serving import event_log
 from greengagemoor.serving.health import Health
-from greengagemoor.serving.identity import identify
 from greengagemoor.serving.metrics import ServingMetrics
 from greengagemoor.serving.peers import Peers
-from greengagemoor.serving.requestlog import RequestLog
+from greengagemoor.serving.request_identity import request_fingerprint
+from greengagemoor.serving.request_log import RequestLog
 from greengagemoor.serving.ticker import Ticker
 from greengagemoor.shell.clock import Clock
 
@@ -51,7 +51,7 @@
     from greengagemoor.serving.dialect import Dialect, Reply
     from greengagemoor.serving.settings import ServingSettings
 
-ALLOWANCE_SHARE = 0.85
+RETRY_BUDGET_SHARE = 0.85
 """Share of the allowed second sends that is used. The rest is a margin: a stall
 of the network moves requests and their repeats into different windows."""
 SWEEP_INTERVAL_S = 1.0
@@ -81,8 +81,8 @@
         self.clock = Clock()
         rng = random.Random(cfg.seed or hash(cfg.instance))
         policy = Policy(
-            retry_ratio=cfg.retry_ratio * ALLOWANCE_SHARE,
-            retry_slack=cfg.retry_slack * ALLOWANCE_SHARE,
+            retry_ratio=cfg.retry_ratio * RETRY_BUDGET_SHARE,
+            retry_slack=cfg.retry_slack * RETRY_BUDGET_SHARE,
             retry_window_s=cfg.retry_window_s,
         )
         self._dialect = dialect
@@ -111,7 +111,7 @@
             cfg.instance, cfg.peer_address, self._ticker.put, self._requests
         )
         self._request_log = RequestLog()
-        self._standing_log = beliefs.StandingLog()
+        self._standing_log = event_log.StandingLog()
         self._metrics = ServingMetrics(self._gauges)
         health = Health(self, dialect)
         self._servers = [HttpServer(cfg.health_address, health, Limits())]
@@ -175,7 +175,7 @@
         info = self._dialect.read_request(req)
         route = self._route_table.find(info.host, req.path)
         if route is None:
-            beliefs.tell_no_route(info, req.path, self._route_table.version)
+            event_log.log_no_route(info, req.path, self._route_table.version)
             self._reply(req, self._dialect.write_no_route())
             return
         req.token = next(self._tokens)
@@ -185,8 +185,8 @@
                 req.token,
                 info.request_id,
                 route,
-                info.patience_s,
-                identify(req, info),
+                info.remaining_wait_s,
+                request_fingerprint(req, info),
                 req.way_s,
             )
         )
@@ -254,7 +254,7 @@
         elif isinstance(msg, feed.StandingChanged):
             self._standing_log.note(self.clock.now(), msg.row)
         else:
-            beliefs.tell(msg, self._view.number)
+            event_log.log_change(msg, self._view.number)
 
     def _start_attempt(self, msg: StartAttempt) -> None:
         req = self._requests.get(msg.token)
@@ -318,5 +318,5 @@
 
     def _sweep(self) -> None:
         self._pool.sweep()
-        self._metrics.fill()
+        self._metrics.update_histograms()
         asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
--- a/greengagemoor/serving/beliefs.py
+++ b/greengagemoor/serving/event_log.py
@@ -14,13 +14,13 @@
 
     from greengagemoor.control.decider import ControlDecider
     from greengagemoor.control.evacuations import Evacuation
-    from greengagemoor.serving.dialect import CallerWords
+    from greengagemoor.serving.dialect import RequestInfo
 
 STANDING_LINES_PER_S = 5.0
 STANDING_LINES_BURST = 50.0
 
 
-class Beliefs:
+class ControlStateLog:
     """Logs changes of a control instance's role and document."""
 
     def __init__(self):
@@ -52,7 +52,7 @@
         }
 
 
-def tell(msg: object, document: int) -> None:
+def log_change(msg: object, document: int) -> None:
     """Logs a change that an entry's decider reports.
 
     Args:
@@ -66,12 +66,12 @@
     elif isinstance(msg, feed.DifferenceRejected):
         _log_rejected_difference(msg)
     elif isinstance(msg, feed.EvacuationsUpdated):
-        tell_evacuations(msg.rows)
+        log_evacuations(msg.rows)
     elif isinstance(msg, feed.ReadyChanged):
         log.event("ready", ready=msg.ready, document=document)
 
 
-def tell_evacuations(rows: Iterable[Evacuation]) -> None:
+def log_evacuations(rows: Iterable[Evacuation]) -> None:
     """Logs which evacuations of data centres begin or end."""
     for row in rows:
         log.event(
@@ -117,7 +117,7 @@
     return ",".join(f"{key.searcher_id}@{key.start}" for key in keys)
 
 
-def tell_no_route(info: CallerWords, path: str, document: int) -> None:
+def log_no_route(info: RequestInfo, path: str, document: int) -> None:
     """Logs that no route of the document matches a request."""
     log.event(
         "no_route",
--- a/greengagemoor/serving/inboxes.py
+++ b/greengagemoor/serving/message_dispatch.py
@@ -28,7 +28,7 @@
 )
 
 
-def is_for_decider(msg: object) -> bool:
+def is_for_member(msg: object) -> bool:
     """Whether the member of the control group receives the message."""
     if isinstance(msg, control.Received):
         return isinstance(msg.payload, control.MEMBER_PAYLOADS)
--- a/greengagemoor/serving/metrics.py
+++ b/greengagemoor/serving/metrics.py
@@ -59,7 +59,7 @@
             self._series_names.add(route)
         return route if route in self._series_names else OTHER_ROUTES
 
-    def fill(self) -> None:
+    def update_histograms(self) -> None:
         """Adds the times collected so far to the histograms.
 
         The library is imported for the first of them: not before callers are
@@ -79,7 +79,7 @@
 
     def text(self) -> str:
         """Returns all metrics in the Prometheus text format."""
-        self.fill()
+        self.update_histograms()
         return "\n".join(self._lines()) + "\n"
 
     def _lines(self) -> Iterator[str]:
--- a/greengagemoor/serving/opencalls.py
+++ b/greengagemoor/serving/open_calls.py
@@ -46,7 +46,7 @@
             self._writers[req.token] = write
         return req.token
 
-    def forget(self, req: HttpRequest) -> None:
+    def discard(self, req: HttpRequest) -> None:
         """Discards a call whose connection closed."""
         self._waiting.pop(req.token, None)
         self._writers.pop(req.token, None)
@@ -57,7 +57,7 @@
         if req is not None:
             answer(req, reply)
 
-    def take_done(self, msg: Done) -> None:
+    def complete(self, msg: Done) -> None:
         """Answers an operator's call whose operation has ended."""
         code = msg.reply.code
         log.event(
--- a/greengagemoor/serving/operators.py
+++ b/greengagemoor/serving/operators.py
@@ -14,7 +14,7 @@
 from greengagemoor.errors import DocumentError
 from greengagemoor.routing import routes
 from greengagemoor.serving import dialect as calls
-from greengagemoor.serving import opencalls
+from greengagemoor.serving import open_calls
 from greengagemoor.serving.dialect import Reply
 
 if TYPE_CHECKING:
@@ -24,10 +24,10 @@
     from greengagemoor.control.decider import ControlDecider
     from greengagemoor.control.messages import OpReply
     from greengagemoor.serving.dialect import Dialect
-    from greengagemoor.serving.opencalls import OpenCalls
+    from greengagemoor.serving.open_calls import OpenCalls
     from greengagemoor.serving.settings import ServingSettings
 
-ASK_S = 0.9
+OPERATION_TIMEOUT_S = 0.9
 """Time limit of an operation; operators retry elsewhere after a second."""
 EVACUATIONS_PATH = "/evacuations"
 MAX_FAULTS = 5
@@ -41,7 +41,7 @@
         self,
         cfg: ServingSettings,
         dialect: Dialect,
-        open_calls: OpenCalls,
+        pending_calls: OpenCalls,
         put: Callable[[object], None],
         now: Callable[[], float],
     ):
@@ -50,7 +50,7 @@
         Args:
             cfg: settings.
             dialect: reads documents and writes answers.
-            open_calls: holds each call until it is answered.
+            pending_calls: holds each call until it is answered.
             put: receives ``OperationRequest``.
             now: returns the time in seconds, by the clock of
                 ``OperationRequest``.
@@ -58,11 +58,11 @@
         self.cfg = cfg
         self.decider: ControlDecider | None = None
         self._dialect = dialect
-        self._calls = open_calls
+        self._calls = pending_calls
         self._put = put
         self._now = now
 
-    def take_put(self, req: HttpRequest, call: calls.PutCall) -> None:
+    def handle_put(self, req: HttpRequest, call: calls.PutCall) -> None:
         """Submits a document to the control group, if it is valid."""
         try:
             table = self._dialect.read_document(call.body)
@@ -70,25 +70,27 @@
         except DocumentError as exc:
             faults = "; ".join(exc.faults[:MAX_FAULTS])
             log.event("document_refused", faults=faults)
-            opencalls.answer(req, self._dialect.write_put(False, faults))
+            open_calls.answer(req, self._dialect.write_put(False, faults))
             return
         packed = zlib.compress(call.body, 6)
         command = PutDocument(table.version, packed, 0.0)
         self._submit(req, OpKind.PUT, self._write_put, command)
 
-    def take_read(self, req: HttpRequest) -> None:
+    def handle_read(self, req: HttpRequest) -> None:
         """Reads the document in force."""
         self._submit(req, OpKind.READ_NUMBERED, self._write_read)
 
-    def take_evacuate(self, req: HttpRequest, call: calls.EvacuateCall) -> None:
+    def handle_evacuate(
+        self, req: HttpRequest, call: calls.EvacuateCall
+    ) -> None:
         """Evacuates a data centre, or ends its evacuation."""
-        fault = self.fault_of(call.data_centre)
+        fault = self.data_centre_fault(call.data_centre)
         if fault:
-            opencalls.answer(req, self._dialect.write_evacuated(False, fault))
+            open_calls.answer(req, self._dialect.write_evacuated(False, fault))
         else:
             self.evacuate(req, call, self._write_evacuated)
 
-    def fault_of(self, data_centre: str) -> str:
+    def data_centre_fault(self, data_centre: str) -> str:
         """Returns why a data centre's name is invalid, '' if it is valid."""
         known = self.cfg.data_centres
         if not known or data_centre in known:
@@ -129,9 +131,9 @@
         """
         self._submit(req, OpKind.READ_NUMBERED, write)
 
-    def forget(self, req: HttpRequest) -> None:
+    def discard(self, req: HttpRequest) -> None:
         """Discards a call whose connection closed; its operation continues."""
-        self._calls.forget(req)
+        self._calls.discard(req)
 
     def _submit(
         self,
@@ -141,7 +143,11 @@
         command: PutDocument | SetEvacuation | None = None,
     ) -> None:
         token = self._calls.open(req, write)
-        self._put(OperationRequest(token, kind, self._now() + ASK_S, command))
+        self._put(
+            OperationRequest(
+                token, kind, self._now() + OPERATION_TIMEOUT_S, command
+            )
+        )
 
     def _write_put(self, reply: OpReply) -> Reply:
         return self._dialect.write_put(reply.code == Code.ACCEPTED)
@@ -182,11 +188,13 @@
         elif req.method == "POST":
             self._evacuate(req)
         else:
-            opencalls.answer(req, _json(405, {"error": "expected GET or POST"}))
+            open_calls.answer(
+                req, _json(405, {"error": "expected GET or POST"})
+            )
 
     def gone(self, req: HttpRequest) -> None:
         """Discards a call whose connection closed; its operation continues."""
-        self._operators.forget(req)
+        self._operators.discard(req)
         self._next_handler.gone(req)
 
     def _evacuate(self, req: HttpRequest) -> None:
@@ -198,13 +206,13 @@
             if not isinstance(call.active, bool):
                 raise TypeError("active is not a boolean")
         except (ValueError, KeyError, TypeError) as exc:
-            opencalls.answer(
+            open_calls.answer(
                 req, _json(400, {"error": f"malformed order: {exc!r}"})
             )
             return
-        fault = self._operators.fault_of(call.data_centre)
+        fault = self._operators.data_centre_fault(call.data_centre)
         if fault:
-            opencalls.answer(
+            open_calls.answer(
                 req, _json_with_code(Code.INVALID, {"error": fault})
             )
         else:
--- a/greengagemoor/serving/quarantine.py
+++ b/greengagemoor/serving/quarantine.py
@@ -15,7 +15,7 @@
     from greengagemoor.feed.messages import SearcherKey, Suspect
     from greengagemoor.feed.suspects import SuspectTable
 
-PATH = "/quarantine"
+QUARANTINE_PATH = "/quarantine"
 MAX_ROWS = 1000
 """Rows in one answer, some 300 KB."""
 JSON_TYPE = ((b"Content-Type", b"application/json"),)
@@ -47,7 +47,7 @@
 
     def take(self, req: HttpRequest) -> None:
         """Answers a call."""
-        if req.path != PATH:
+        if req.path != QUARANTINE_PATH:
             self._metrics.take(req)
         elif req.method == "GET":
             _reply(req, 200, {"requests": self._rows()})
--- a/greengagemoor/serving/identity.py
+++ b/greengagemoor/serving/request_identity.py
@@ -8,10 +8,10 @@
 
 if TYPE_CHECKING:
     from greengagemoor.aio.requests import HttpRequest
-    from greengagemoor.serving.dialect import CallerWords
+    from greengagemoor.serving.dialect import RequestInfo
 
 
-def identify(req: HttpRequest, info: CallerWords) -> bytes:
+def request_fingerprint(req: HttpRequest, info: RequestInfo) -> bytes:
     """Returns the same fingerprint for requests that ask for the same."""
     return fingerprint(
         info.account.encode(),
--- a/greengagemoor/serving/settings.py
+++ b/greengagemoor/serving/settings.py
@@ -68,7 +68,7 @@
     seed: int = 0
 
     @property
-    def founds(self) -> bool:
+    def founds_group(self) -> bool:
         """Whether the settings tell this process to found the control group."""
         return self.new_group and self.peer_address in self.seeds
 
--- a/tests/test_control/test_evacuations.py
+++ b/tests/test_control/test_evacuations.py
@@ -18,7 +18,7 @@
 from greengagemoor.control.evacuations import Evacuation, EvacuationView
 from greengagemoor.control.messages import OpKind, OpRequest, Received
 from greengagemoor.control.replicated_state import ReplicatedState
-from greengagemoor.serving.operators import ASK_S
+from greengagemoor.serving.operators import OPERATION_TIMEOUT_S
 from tests.test_control.helpers import (
     GROUP,
     Operator,
@@ -152,7 +152,9 @@
         """Guards against a command that takes effect after it failed."""
         leader = fleet.leader()
         fleet.cut_off(leader)
-        lost = operator.submit(leader, "dc1", active=True, wait=ASK_S)
+        lost = operator.submit(
+            leader, "dc1", active=True, wait=OPERATION_TIMEOUT_S
+        )
         fleet.run(1.0)
         other = followers(leader)[0]
         assert operator.order(other, "dc1", active=True, wait=10.0)
--- a/tests/test_feed/test_shares.py
+++ b/tests/test_feed/test_shares.py
@@ -15,7 +15,7 @@
 from greengagemoor.forward.policy import Policy
 from greengagemoor.forward.tables import Tables
 from greengagemoor.routing.routes import ServiceRules
-from greengagemoor.serving.entry import ALLOWANCE_SHARE
+from greengagemoor.serving.entry import RETRY_BUDGET_SHARE
 
 HUBS = ("c1", "c2", "c3")
 SLACK = 422.0
@@ -115,7 +115,7 @@
 
     def tables(self):
         """Returns the tables of all serving entries."""
-        policy = Policy(retry_slack=ALLOWANCE_SHARE * SLACK)
+        policy = Policy(retry_slack=RETRY_BUDGET_SHARE * SLACK)
         all_tables = []
         for view in self.views.values():
             if view.peers or view.entries > 1:
@@ -155,7 +155,7 @@
         fleet.join(names(0, number))
         fleet.lose_power()
         fleet.join(names(0, 5))
-        part = ALLOWANCE_SHARE * SLACK / number
+        part = RETRY_BUDGET_SHARE * SLACK / number
         assert total_second_sends(fleet) <= 5 * part * 1.001
 
     def test_count_expires_for_entries_that_never_return(self):
--- a/tests/test_serving/test_control.py
+++ b/tests/test_serving/test_control.py
@@ -20,7 +20,7 @@
 from greengagemoor.platform.dialect import PlatformDialect
 from greengagemoor.serving.control import ControlApp
 from greengagemoor.serving.settings import ServingSettings
-from tests.test_platform.test_other_writers import BEAT
+from tests.test_platform.test_malformed_input import BEAT
 
 LOOP_TURNS = 3
 
--- a/tests/test_serving/test_durable.py
+++ b/tests/test_serving/test_durable_state.py
@@ -13,9 +13,9 @@
     SuspectRows,
 )
 from greengagemoor.feed.timing import Timing
-from greengagemoor.serving import keeping
-from greengagemoor.serving.durable import ENTRIES, SUSPECTS, Durable
-from greengagemoor.serving.keeping import Keeper
+from greengagemoor.serving import hub_storage
+from greengagemoor.serving.durable_state import ENTRIES, SUSPECTS, DurableState
+from greengagemoor.serving.hub_storage import HubStorage
 
 FOUNDERS = {"127.0.0.2": "127.0.0.2:7740", "127.0.0.3": "127.0.0.3:7740"}
 
@@ -24,7 +24,7 @@
     """Opens a folder as a process does at its start; returns its state."""
 
     async def run():
-        durable = Durable(str(path), "127.0.0.1", lambda _: None, founders)
+        durable = DurableState(str(path), "127.0.0.1", lambda _: None, founders)
         opened = await durable.open()
         if damage is not None:
             await durable.close()
@@ -69,25 +69,31 @@
 
     def test_kept_over_a_restart(self, tmp_path):
         async def run():
-            first = Durable(str(tmp_path / "d"), "127.0.0.1", lambda _: None)
+            first = DurableState(
+                str(tmp_path / "d"), "127.0.0.1", lambda _: None
+            )
             await first.open()
-            before = first.kept_entries()
-            await first.keep(ENTRIES, KnownPeers((), 191))
+            before = first.load_entry_count()
+            await first.store(ENTRIES, KnownPeers((), 191))
             await first.close()
-            second = Durable(str(tmp_path / "d"), "127.0.0.1", lambda _: None)
+            second = DurableState(
+                str(tmp_path / "d"), "127.0.0.1", lambda _: None
+            )
             await second.open()
             await second.close()
-            return before, second.kept_entries()
+            return before, second.load_entry_count()
 
         assert asyncio.run(run()) == (0, 191)
 
     def test_zero_if_damaged(self, tmp_path):
         async def run():
-            durable = Durable(str(tmp_path / "d"), "127.0.0.1", lambda _: None)
+            durable = DurableState(
+                str(tmp_path / "d"), "127.0.0.1", lambda _: None
+            )
             await durable.open()
             (tmp_path / "d" / ENTRIES).write_bytes(b"\xff\xff")
             await durable.close()
-            return durable.kept_entries()
+            return durable.load_entry_count()
 
         assert asyncio.run(run()) == 0
 
@@ -102,10 +108,10 @@
         """Runs a hub with its storage; returns the hub's rows of suspects."""
 
         async def run():
-            durable = Durable(str(path), "127.0.0.1", lambda _: None)
+            durable = DurableState(str(path), "127.0.0.1", lambda _: None)
             await durable.open()
             hub = FeedHub(Timing(1.0), "c1")
-            keeper = Keeper(hub, durable)
+            keeper = HubStorage(hub, durable)
             keeper.restore(0.0)
             for row in received:
                 hub.step(1.0, [Received("e1", SuspectRows((row,)))])
@@ -121,7 +127,7 @@
         return asyncio.run(run())
 
     def test_kept_over_a_restart(self, tmp_path, monkeypatch):
-        monkeypatch.setattr(keeping, "STORE_INTERVAL_S", 0.001)
+        monkeypatch.setattr(hub_storage, "STORE_INTERVAL_S", 0.001)
         assert self.restart(tmp_path / "d", SUSPECT) == (SUSPECT,)
         assert self.restart(tmp_path / "d") == (SUSPECT,)
 
@@ -129,7 +135,7 @@
         self, tmp_path, monkeypatch
     ):
         """A damaged folder is emptied while the process keeps running."""
-        monkeypatch.setattr(keeping, "STORE_INTERVAL_S", 0.001)
+        monkeypatch.setattr(hub_storage, "STORE_INTERVAL_S", 0.001)
 
         def damage():
             (tmp_path / "d" / SUSPECTS).unlink(missing_ok=True)
--- a/tests/test_serving/test_operators.py
+++ b/tests/test_serving/test_operators.py
@@ -14,7 +14,7 @@
 from greengagemoor.control.messages import OpKind, OpReply
 from greengagemoor.platform.dialect import PlatformDialect
 from greengagemoor.serving.dialect import EvacuateCall
-from greengagemoor.serving.opencalls import OpenCalls
+from greengagemoor.serving.open_calls import OpenCalls
 from greengagemoor.serving.operators import EvacuationPage, OperatorCalls
 from greengagemoor.serving.settings import ServingSettings
 from tests.test_serving.helpers import Caller, Metrics
@@ -39,7 +39,7 @@
     def order(self, data_centre, active=True):
         caller = Caller()
         req = HttpRequest("POST", "/", [], b"", 0.0, caller)
-        self.operators.take_evacuate(req, EvacuateCall(data_centre, active))
+        self.operators.handle_evacuate(req, EvacuateCall(data_centre, active))
         return caller
 
     def call(self, method, path="/evacuations", body=b""):
@@ -50,7 +50,7 @@
     def end(self, code, **more):
         (ask,) = self.asks
         reply = OpReply(1, code, **more)
-        self.calls.take_done(Done(ask.token, ask.kind, reply))
+        self.calls.complete(Done(ask.token, ask.kind, reply))
 
 
 class TestEvacuate:
@@ -91,8 +91,8 @@
         harness = OperatorsHarness()
         caller = Caller()
         req = HttpRequest("POST", "/", [], b"", 0.0, caller)
-        harness.operators.take_evacuate(req, EvacuateCall("dc1", True))
-        harness.operators.forget(req)
+        harness.operators.handle_evacuate(req, EvacuateCall("dc1", True))
+        harness.operators.discard(req)
         harness.end(Code.ACCEPTED)
         assert caller.status == 0
 
--- a/tests/test_serving/test_quarantine.py
+++ b/tests/test_serving/test_quarantine.py
@@ -9,7 +9,7 @@
 from greengagemoor.aio.requests import HttpRequest
 from greengagemoor.feed.messages import ClearSuspect, SearcherKey, Suspect
 from greengagemoor.feed.suspects import SuspectTable
-from greengagemoor.serving.quarantine import PATH, QuarantinePage
+from greengagemoor.serving.quarantine import QUARANTINE_PATH, QuarantinePage
 from tests.test_serving.helpers import Caller, Metrics
 
 KEYS = tuple(SearcherKey(name, 7) for name in "abc")
@@ -23,7 +23,7 @@
 class TestPage:
     """Calls to ``/quarantine``, which is served beside the metrics."""
 
-    def call(self, method, path=PATH, body=b""):
+    def call(self, method, path=QUARANTINE_PATH, body=b""):
         table = SuspectTable()
         for row in (SUSPECT, QUARANTINED, WATCHED):
             table.join(row)
