--- a/bench/entry_costs.py
+++ b/bench/entry_costs.py
@@ -34,7 +34,7 @@
 
 
 class _Searcher:
-    def take(self, req):
+    def handle_request(self, req):
         headers = (
             (b"Server-Stamp", b"1f.18.51a.0.73208fabce0b820a"),
             (b"Server-Load", b"1,0,5"),
@@ -43,7 +43,7 @@
         )
         req.conn.reply(req, 200, headers, BODY)
 
-    def gone(self, req):
+    def handle_disconnect(self, req):
         pass
 
 
--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -419,7 +419,7 @@
     Mutant(
         "who is gone is dialled no more",
         "aio/links.py",
-        "for address in set(self._wanted) - addresses:",
+        "for address in set(self.dial_tasks_by_address) - addresses:",
         "for address in ():",
         ("tests/test_aio/test_links.py",),
     ),
--- a/greengagemoor/aio/client.py
+++ b/greengagemoor/aio/client.py
@@ -26,7 +26,7 @@
 
 
 @values.frozen
-class HttpAnswer:
+class HttpResponse:
     """A complete response.
 
     Attributes:
@@ -47,13 +47,13 @@
         sent: whether bytes of the request may have reached the searcher.
         stale: whether a reused connection broke before the first byte of the
             response.
-        began: whether part of the response was received.
+        response_began: whether part of the response was received.
     """
 
     sent: bool
     stale: bool
     reason: str
-    began: bool = False
+    response_began: bool = False
 
 
 class ClientConnection(asyncio.Protocol):
@@ -65,7 +65,7 @@
         self.transport: asyncio.Transport | None = None
         self.idle_until = 0.0
         self._was_used = False
-        self._done: Callable[[HttpAnswer | HttpFailure], None] | None = None
+        self._done: Callable[[HttpResponse | HttpFailure], None] | None = None
         self._received_bytes = False
         self._must_close = False
         self._parser = None
@@ -78,19 +78,19 @@
     def send(
         self,
         data: bytes,
-        done: Callable[[HttpAnswer | HttpFailure], None],
-        is_mine: Callable[[Headers], bool],
+        done: Callable[[HttpResponse | HttpFailure], None],
+        matches_request: Callable[[Headers], bool],
     ) -> None:
         """Sends a request.
 
         Args:
             data: the complete request.
             done: called once, with the response or the failure.
-            is_mine: whether a response with these headers belongs to this
-                request; other responses are skipped.
+            matches_request: whether a response with these headers belongs to
+                this request; other responses are skipped.
         """
         self._done = done
-        self._is_mine = is_mine
+        self._matches_request = matches_request
         self._received_bytes = False
         self._status = 0
         self._headers: list[tuple[bytes, bytes]] = []
@@ -147,7 +147,7 @@
         """
         if self._complete:
             return
-        if self._status >= 200 and self._is_mine(self._headers):
+        if self._status >= 200 and self._matches_request(self._headers):
             self._complete = True
             # Valid only within this callback; later it is always false.
             self._keep_alive = self._parser.should_keep_alive()
@@ -173,8 +173,8 @@
             self.kill()
         done(answer)
 
-    def _build_answer(self) -> HttpAnswer:
-        return HttpAnswer(
+    def _build_answer(self) -> HttpResponse:
+        return HttpResponse(
             self._status,
             tuple(self._headers),
             b"".join(self._body),
@@ -185,7 +185,7 @@
         """Completes a response that ends with its connection."""
         if self._done is not None and self._has_no_length():
             done, self._done = self._done, None
-            answer = HttpAnswer(
+            answer = HttpResponse(
                 self._status,
                 tuple(self._headers),
                 b"".join(self._body),
--- a/greengagemoor/aio/connection.py
+++ b/greengagemoor/aio/connection.py
@@ -65,7 +65,7 @@
         pending, self._current = self._current, None
         self._queue.clear()
         if pending is not None:
-            self._handler.gone(pending)
+            self._handler.handle_disconnect(pending)
 
     def eof_received(self) -> bool:
         """Closes the connection: a half-closed one counts as closed."""
@@ -161,7 +161,7 @@
         self._current = self._queue.popleft()
         if len(self._queue) < MAX_PIPELINED:
             self._transport.resume_reading()
-        self._handler.take(self._current)
+        self._handler.handle_request(self._current)
 
     # Replies.
 
--- a/greengagemoor/aio/dialpace.py
+++ b/greengagemoor/aio/dial_backoff.py
@@ -21,16 +21,16 @@
         wait_s: pause after a failed attempt.
         growth: factor on both per failure; makes nine attempts in the first
             second.
-        longest_s: bound on each; a machine that stays down gets a packet every
+        max_s: bound on each; a machine that stays down gets a packet every
             1.6 s.
     """
 
     connect_s: float = 0.05
     wait_s: float = 0.02
     growth: float = 1.15
-    longest_s: float = 0.8
+    max_s: float = 0.8
 
-    def note_failure(self) -> None:
+    def record_failure(self) -> None:
         """Lengthens the next connect timeout and pause."""
-        self.connect_s = min(self.growth * self.connect_s, self.longest_s)
-        self.wait_s = min(self.growth * self.wait_s, self.longest_s)
+        self.connect_s = min(self.growth * self.connect_s, self.max_s)
+        self.wait_s = min(self.growth * self.wait_s, self.max_s)
--- a/greengagemoor/aio/links.py
+++ b/greengagemoor/aio/links.py
@@ -10,7 +10,7 @@
 
 from greengagemoor import log
 from greengagemoor.aio import sockets
-from greengagemoor.aio.dialpace import DialBackoff
+from greengagemoor.aio.dial_backoff import DialBackoff
 from greengagemoor.control.messages import Received, Send
 from greengagemoor.errors import WireError
 from greengagemoor.feed.messages import LinkDown, LinkUp
@@ -72,7 +72,7 @@
         self._transport = transport
         sockets.set_options(transport)
         self.last_received_at = self._links.now()
-        self._links.open.add(self)
+        self._links.open_links.add(self)
         if self.dialled:
             self.send([])
 
@@ -178,12 +178,12 @@
         """
         self.name = name
         self.address = address
-        self.open: set[Link] = set()
+        self.open_links: set[Link] = set()
         self.sent_bytes = 0
         self._put = put
         self._loop = asyncio.get_running_loop()
         self._by_name: dict[str, list[Link]] = {}
-        self._wanted: dict[str, asyncio.Task] = {}
+        self.dial_tasks_by_address: dict[str, asyncio.Task] = {}
         self._server: asyncio.Server | None = None
         self._outbox: dict[str, list] = {}
 
@@ -204,25 +204,25 @@
             )
         self._loop.call_later(KEEP_ALIVE_S / 2, self._check_links)
 
-    def want(self, addresses: set[str]) -> None:
+    def set_addresses(self, addresses: set[str]) -> None:
         """Sets the addresses to keep links to.
 
         Other addresses are no longer dialled, but open links to them stay.
         """
-        for address in set(self._wanted) - addresses:
-            self._wanted.pop(address).cancel()
+        for address in set(self.dial_tasks_by_address) - addresses:
+            self.dial_tasks_by_address.pop(address).cancel()
         for address in addresses - {self.address}:
             self._dial(address)
 
     def _dial(self, address: str) -> None:
-        if address not in self._wanted:
+        if address not in self.dial_tasks_by_address:
             task = self._loop.create_task(self._maintain_link(address))
-            self._wanted[address] = task
+            self.dial_tasks_by_address[address] = task
 
     async def _maintain_link(self, address: str) -> None:
         host, _, port = address.rpartition(":")
         backoff = DialBackoff()
-        while any(link.dialled == address for link in self.open):
+        while any(link.dialled == address for link in self.open_links):
             await asyncio.sleep(CLOSED_CHECK_S)
         while True:
             try:
@@ -232,10 +232,10 @@
                     )
             except (OSError, TimeoutError):
                 await asyncio.sleep(backoff.wait_s)
-                backoff.note_failure()
+                backoff.record_failure()
                 continue
             backoff = DialBackoff()
-            while link in self.open:
+            while link in self.open_links:
                 await asyncio.sleep(CLOSED_CHECK_S)
 
     def handle_batch(self, link: Link, name: str, payloads: list) -> None:
@@ -258,7 +258,7 @@
 
     def handle_closed(self, link: Link) -> None:
         """Removes a closed link."""
-        self.open.discard(link)
+        self.open_links.discard(link)
         links = self._by_name.get(link.name)
         if not links or link not in links:
             return
@@ -288,7 +288,7 @@
     def _check_links(self) -> None:
         """Sends keep-alives that are due and closes silent links."""
         now = self.now()
-        for link in list(self.open):
+        for link in list(self.open_links):
             if link.is_silent(now):
                 log.event("link_silent", level="WARNING", peer=link.name)
                 link.close()
--- a/greengagemoor/aio/pool.py
+++ b/greengagemoor/aio/pool.py
@@ -8,8 +8,8 @@
 from greengagemoor.aio.client import (
     ClientConnection,
     Headers,
-    HttpAnswer,
     HttpFailure,
+    HttpResponse,
 )
 
 if TYPE_CHECKING:
@@ -29,33 +29,37 @@
     def __init__(self):
         self._idle: dict[str, list[ClientConnection]] = {}
         self._loop = asyncio.get_running_loop()
-        self.opened = 0
+        self.opened_count = 0
         self._probes: set[asyncio.Task] = set()
 
     def send(
         self,
         address: str,
         data: bytes,
-        done: Callable[[HttpAnswer | HttpFailure], None],
-        is_mine: Callable[[Headers], bool],
-    ) -> Sending:
+        done: Callable[[HttpResponse | HttpFailure], None],
+        matches_request: Callable[[Headers], bool],
+    ) -> PendingRequest:
         """Sends a request on an idle connection, or on a new one.
 
         Returns:
             A handle to cancel the request; ``done`` is not called then.
         """
-        sending = Sending()
+        sending = PendingRequest()
         conn = self._take_idle(address)
         if conn is not None:
             sending.conn = conn
-            conn.send(data, done, is_mine)
+            conn.send(data, done, matches_request)
             return sending
         sending.task = self._loop.create_task(
-            self._connect_and_send(address, data, done, is_mine, sending)
+            self._connect_and_send(
+                address, data, done, matches_request, sending
+            )
         )
         return sending
 
-    def probe(self, address: str, done: Callable[[bool], None]) -> None:
+    def check_listening(
+        self, address: str, done: Callable[[bool], None]
+    ) -> None:
         """Checks whether an address accepts connections.
 
         Args:
@@ -63,15 +67,15 @@
             done: called with whether the connection was refused, that is,
                 nothing listens there.
         """
-        task = self._loop.create_task(self._check_listening(address, done))
+        task = self._loop.create_task(self._connect_and_close(address, done))
         self._probes.add(task)
         task.add_done_callback(self._probes.discard)
 
-    async def _check_listening(
+    async def _connect_and_close(
         self, address: str, done: Callable[[bool], None]
     ) -> None:
         host, _, port = address.rpartition(":")
-        self.opened += 1
+        self.opened_count += 1
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 transport, _ = await self._loop.create_connection(
@@ -90,12 +94,12 @@
         self,
         address: str,
         data: bytes,
-        done: Callable[[HttpAnswer | HttpFailure], None],
-        is_mine: Callable[[Headers], bool],
-        sending: Sending,
+        done: Callable[[HttpResponse | HttpFailure], None],
+        matches_request: Callable[[Headers], bool],
+        sending: PendingRequest,
     ) -> None:
         host, _, port = address.rpartition(":")
-        self.opened += 1
+        self.opened_count += 1
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, conn = await self._loop.create_connection(
@@ -106,7 +110,7 @@
             done(HttpFailure(sent=False, stale=False, reason=reason))
             return
         sending.conn = conn
-        conn.send(data, done, is_mine)
+        conn.send(data, done, matches_request)
 
     def _take_idle(self, address: str) -> ClientConnection | None:
         idle = self._idle.get(address)
@@ -128,12 +132,12 @@
         if idle and conn in idle:
             idle.remove(conn)
 
-    def close_address(self, address: str) -> None:
+    def close_idle_to(self, address: str) -> None:
         """Closes the idle connections to a searcher that has exited."""
         for conn in self._idle.pop(address, []):
             conn.kill()
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Closes connections past their idle timeout."""
         now = self._loop.time()
         for address, idle in list(self._idle.items()):
@@ -143,7 +147,7 @@
                 self._idle.pop(address, None)
 
 
-class Sending:
+class PendingRequest:
     """A request in flight, or waiting for its connection."""
 
     def __init__(self):
--- a/greengagemoor/aio/requests.py
+++ b/greengagemoor/aio/requests.py
@@ -41,7 +41,7 @@
         return None
 
     @property
-    def way_s(self) -> float | None:
+    def network_s(self) -> float | None:
         """Network time as measured by the caller; None if not known.
 
         A new connection costs one round trip before the request is sent.
@@ -65,10 +65,10 @@
 class Handler(Protocol):
     """Interface of the application behind a server."""
 
-    def take(self, req: HttpRequest) -> None:
+    def handle_request(self, req: HttpRequest) -> None:
         """Handles a request; calls ``req.conn.reply`` now or later."""
 
-    def gone(self, req: HttpRequest) -> None:
+    def handle_disconnect(self, req: HttpRequest) -> None:
         """Handles a caller's disconnect before the reply was sent."""
 
 
--- a/greengagemoor/config.py
+++ b/greengagemoor/config.py
@@ -7,7 +7,7 @@
 import attrs
 
 from greengagemoor.errors import InvalidInputError, SettingsError
-from greengagemoor.util import shape
+from greengagemoor.util import json_conversion
 from greengagemoor.util.checks import (
     in_range,
     is_address,
@@ -164,6 +164,6 @@
     except OSError as exc:
         raise SettingsError([f"can't read {path}: {exc.strerror}"]) from exc
     try:
-        return shape.parse_json(text, Settings)
+        return json_conversion.decode_json(text, Settings)
     except InvalidInputError as exc:
         raise SettingsError(exc.faults) from exc
--- a/greengagemoor/control/documents.py
+++ b/greengagemoor/control/documents.py
@@ -9,7 +9,7 @@
 import attrs
 
 from greengagemoor.codes import Code
-from greengagemoor.util import shape, values
+from greengagemoor.util import json_conversion, values
 
 if TYPE_CHECKING:
     from greengagemoor.control.commands import ApplyDocument
@@ -137,7 +137,7 @@
 
     def save(self) -> str:
         """Returns the whole state as text for a snapshot."""
-        return shape.dump_json(
+        return json_conversion.encode_json(
             _SavedDocuments(
                 version=self.version,
                 text=self.text,
@@ -149,7 +149,7 @@
 
     def load(self, text: str) -> None:
         """Replaces the state with a saved one."""
-        saved = shape.parse_json(text, _SavedDocuments)
+        saved = json_conversion.decode_json(text, _SavedDocuments)
         self.version = saved.version
         self.text = saved.text
         self._winners = OrderedDict(saved.winners)
--- a/greengagemoor/control/ledger.py
+++ b/greengagemoor/control/ledger.py
@@ -8,7 +8,7 @@
 
 from greengagemoor.codes import ClaimVerdict, Code, is_not_run
 from greengagemoor.control.commands import Claim, RecordOutcome
-from greengagemoor.util import shape, values
+from greengagemoor.util import json_conversion, values
 
 DEFAULT_WINDOW_S = 3600.0
 """How long ids are kept unless the document sets ``ledger_window_s``."""
@@ -150,13 +150,13 @@
             _SavedRow(caller, request_id, **attrs.asdict(row))
             for (caller, request_id), row in self._rows.items()
         )
-        return shape.dump_json(
+        return json_conversion.encode_json(
             _SavedLedger(self.time, self.window_s, self._closed_before, rows)
         )
 
     def load(self, text: str) -> None:
         """Replaces the state with a saved one."""
-        saved = shape.parse_json(text, _SavedLedger)
+        saved = json_conversion.decode_json(text, _SavedLedger)
         self.time = saved.time
         self.window_s = saved.window
         self._closed_before = saved.closed_before
--- a/greengagemoor/document.py
+++ b/greengagemoor/document.py
@@ -6,7 +6,7 @@
 
 from greengagemoor.errors import DocumentError, InvalidInputError
 from greengagemoor.registry import choosers, completions
-from greengagemoor.util import shape
+from greengagemoor.util import json_conversion
 from greengagemoor.util.checks import (
     at_most,
     in_range,
@@ -177,6 +177,6 @@
     from greengagemoor.query import choosing, completion  # noqa: F401
 
     try:
-        return shape.parse_json(text, Document)
+        return json_conversion.decode_json(text, Document)
     except InvalidInputError as exc:
         raise DocumentError(exc.faults) from exc
--- a/greengagemoor/forward/attempt_end.py
+++ b/greengagemoor/forward/attempt_end.py
@@ -82,7 +82,7 @@
             evidence.clear_suspect(tables, fingerprint)
         return
     retry_deferral.record_end(attempt, msg)
-    if msg.outcome is Outcome.BROKEN and not msg.began:
+    if msg.outcome is Outcome.BROKEN and not msg.response_began:
         evidence.record_broken_send(tables, attempt)
 
 
--- a/greengagemoor/forward/messages.py
+++ b/greengagemoor/forward/messages.py
@@ -175,7 +175,7 @@
     Attributes:
         stale: the connection had been idle and broke before any byte of an
             answer: the searcher had closed it without notice.
-        began: part of an answer had arrived.
+        response_began: part of an answer had arrived.
         answer: set for ``ANSWERED`` and ``NOT_RUN``.
     """
 
@@ -184,7 +184,7 @@
     answer: SearcherAnswer | None = None
     stale: bool = False
     reason: str = ""
-    began: bool = False
+    response_began: bool = False
 
 
 @values.frozen
--- a/greengagemoor/forward/retry_deferral.py
+++ b/greengagemoor/forward/retry_deferral.py
@@ -32,7 +32,7 @@
     counted if it then can't be reached any more.
     """
     leg, searcher = attempt.leg, attempt.searcher
-    if msg.outcome is Outcome.BROKEN and not msg.began:
+    if msg.outcome is Outcome.BROKEN and not msg.response_began:
         leg.broken_by = searcher
         ended = not msg.stale
     else:
--- a/greengagemoor/log.py
+++ b/greengagemoor/log.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from greengagemoor.util.linewriter import LineWriter
+from greengagemoor.util.line_writer import LineWriter
 
 MAX_FRAMES = 8
 """Innermost stack frames of an exception that are logged."""
--- a/greengagemoor/membership/table.py
+++ b/greengagemoor/membership/table.py
@@ -15,7 +15,7 @@
     ServerRow,
     hash64,
 )
-from greengagemoor.util import shape
+from greengagemoor.util import json_conversion
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -159,7 +159,7 @@
 
 
 def _content_hash(row: Row) -> int:
-    return hash64(shape.dump_json(row))
+    return hash64(json_conversion.encode_json(row))
 
 
 def _keep_draining(kept: Row, row: Row) -> Row:
--- a/greengagemoor/platform/dialect.py
+++ b/greengagemoor/platform/dialect.py
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from greengagemoor.aio.client import Headers, HttpAnswer
+    from greengagemoor.aio.client import Headers, HttpResponse
     from greengagemoor.aio.requests import HttpRequest
     from greengagemoor.feed.messages import Subscribe
     from greengagemoor.routing.routes import RouteTable
@@ -111,7 +111,7 @@
         echoed = (v for name, v in headers if name.lower() == REQUEST_ID)
         return next(echoed, request_id.encode()) == request_id.encode()
 
-    def read_answer(self, answer: HttpAnswer) -> d.AttemptResult:
+    def read_answer(self, answer: HttpResponse) -> d.AttemptResult:
         """Reads a searcher's answer."""
         headers = {name.lower(): value for name, value in answer.headers}
         content = SearcherAnswer(
--- a/greengagemoor/platform/program.py
+++ b/greengagemoor/platform/program.py
@@ -16,7 +16,7 @@
     import socket
 
     from greengagemoor.serving.settings import ServingSettings
-    from greengagemoor.util.linewriter import LineWriter
+    from greengagemoor.util.line_writer import LineWriter
 
 RELOAD_INTERVAL_S = 1.0
 FLUSH_INTERVAL_S = 0.1
--- a/greengagemoor/query/endings.py
+++ b/greengagemoor/query/endings.py
@@ -16,7 +16,7 @@
 from greengagemoor.query.snapshots import pick_snapshot, pin
 from greengagemoor.query.tables import Phase, Query, TimerKind, Waiter
 from greengagemoor.registry import completions
-from greengagemoor.util import shape
+from greengagemoor.util import json_conversion
 
 if TYPE_CHECKING:
     from greengagemoor.query.messages import ClaimDecided
@@ -49,7 +49,7 @@
     the request id of the recorded request.
     """
     if msg.verdict is ClaimVerdict.DONE:
-        answer = shape.parse_json(msg.outcome, Answer)
+        answer = json_conversion.decode_json(msg.outcome, Answer)
     else:
         answer = answers.build_rejection(
             query.request, _CLAIM_CODES[msg.verdict], NO_CONTROL_RETRY_S
@@ -202,7 +202,7 @@
             caller=query.request.caller,
             request_id=query.request.request_id,
             code=answer.code,
-            outcome=shape.dump_json(answer),
+            outcome=json_conversion.encode_json(answer),
         )
     )
 
@@ -219,7 +219,7 @@
             caller=msg.caller,
             request_id=msg.request_id,
             code=code,
-            outcome=shape.dump_json(answer),
+            outcome=json_conversion.encode_json(answer),
         )
     )
 
--- a/greengagemoor/serving/control.py
+++ b/greengagemoor/serving/control.py
@@ -93,7 +93,7 @@
     async def start(self) -> None:
         """Starts the listeners, then recovers the durable state."""
         await self._links.start()
-        self._links.want(set(self.cfg.seeds))
+        self._links.set_addresses(set(self.cfg.seeds))
         for server in self._servers:
             await server.start()
         await self._recover()
@@ -123,7 +123,7 @@
     def reload(self, cfg: ServingSettings) -> None:
         """Applies changed settings and connects to their seeds."""
         self.cfg = self._operators.cfg = cfg
-        self._links.want({*cfg.seeds, *self._contacts.values()})
+        self._links.set_addresses({*cfg.seeds, *self._contacts.values()})
         self._ticker.put(SeedsChanged(cfg.other_seeds))
 
     async def stop(self) -> None:
@@ -136,7 +136,7 @@
 
     # Incoming calls.
 
-    def take(self, req: HttpRequest) -> None:
+    def handle_request(self, req: HttpRequest) -> None:
         """Handles a call of an operator, a searcher or a caller."""
         try:
             call = self._dialect.read_call(req)
@@ -165,7 +165,7 @@
         else:
             open_calls.answer(req, self._dialect.write_unknown_call())
 
-    def gone(self, req: HttpRequest) -> None:
+    def handle_disconnect(self, req: HttpRequest) -> None:
         """Discards a call whose connection closed; its operation continues."""
         self._calls.discard(req)
 
@@ -258,7 +258,7 @@
             return
         self._linked_members = None if outside else state.members
         self._contacts = self._decider.contacts()
-        self._links.want({*self.cfg.seeds, *self._contacts.values()})
+        self._links.set_addresses({*self.cfg.seeds, *self._contacts.values()})
         addresses = {m.address for m in state.members.values()}
         names = {m.instance for m in state.members.values()}
         self._client.targets = sorted(names.union(self._contacts))
@@ -269,7 +269,7 @@
         return {
             **self._hub.gauges(),
             **self._state_log.gauges(),
-            "links": len(self._links.open),
+            "links": len(self._links.open_links),
             "link_bytes_sent_total": self._links.sent_bytes,
             "bad_calls_total": self._bad_calls.total,
             "tick_failures_total": self._ticker.failures,
--- a/greengagemoor/serving/dialect.py
+++ b/greengagemoor/serving/dialect.py
@@ -10,7 +10,7 @@
 from greengagemoor.util import values
 
 if TYPE_CHECKING:
-    from greengagemoor.aio.client import Headers, HttpAnswer
+    from greengagemoor.aio.client import Headers, HttpResponse
     from greengagemoor.aio.requests import HttpRequest
     from greengagemoor.feed.messages import SearcherRow, Subscribe
     from greengagemoor.forward.messages import Outcome, Respond, SearcherAnswer
@@ -133,7 +133,7 @@
     def is_answer_to(self, request_id: str, headers: Headers) -> bool:
         """Returns whether an answer with these headers is to this request."""
 
-    def read_answer(self, answer: HttpAnswer) -> AttemptResult:
+    def read_answer(self, answer: HttpResponse) -> AttemptResult:
         """Reads a searcher's answer."""
 
     def write_answer(self, msg: Respond) -> Reply:
--- a/greengagemoor/serving/durable_state.py
+++ b/greengagemoor/serving/durable_state.py
@@ -125,7 +125,7 @@
         """
         configured, self._founders = self._founders, None
         if configured is not None and folder.is_new:
-            folder.write_whole(FOUNDERS, json.dumps(configured).encode())
+            folder.write_atomically(FOUNDERS, json.dumps(configured).encode())
         path = self._path / FOUNDERS
         if not path.exists():
             return None
@@ -151,7 +151,7 @@
         loop = asyncio.get_running_loop()
         try:
             await loop.run_in_executor(
-                None, self._folder.write_whole, name, data
+                None, self._folder.write_atomically, name, data
             )
         except OSError as exc:
             log.event("rows_not_kept", level="WARNING", reason=exc)
--- a/greengagemoor/serving/entry.py
+++ b/greengagemoor/serving/entry.py
@@ -10,9 +10,9 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor import log
-from greengagemoor.aio.client import HttpAnswer, HttpFailure
+from greengagemoor.aio.client import HttpFailure, HttpResponse
 from greengagemoor.aio.links import Links
-from greengagemoor.aio.pool import Pool, Sending
+from greengagemoor.aio.pool import PendingRequest, Pool
 from greengagemoor.aio.requests import Limits
 from greengagemoor.aio.server import HttpServer
 from greengagemoor.control.messages import Send
@@ -106,7 +106,7 @@
         self._dialled_peers: tuple[str, ...] = ()
         self._tokens = count(1)
         self._requests: dict[int, HttpRequest] = {}
-        self._sends: dict[int, Sending] = {}
+        self._sends: dict[int, PendingRequest] = {}
         self._peers = Peers(
             cfg.instance, cfg.peer_address, self._ticker.put, self._requests
         )
@@ -142,7 +142,7 @@
 
     def _update_links(self) -> None:
         self._dialled_peers = self._view.peers
-        self._links.want({*self.cfg.seeds, *self._view.peers})
+        self._links.set_addresses({*self.cfg.seeds, *self._view.peers})
 
     async def stop(self) -> None:
         """Stops without aborting a request.
@@ -167,7 +167,7 @@
 
     # Callers.
 
-    def take(self, req: HttpRequest) -> None:
+    def handle_request(self, req: HttpRequest) -> None:
         """Handles a caller's request."""
         if self._route_table is None or not self._view.is_confirmed:
             self._reply(req, self._dialect.write_no_document())
@@ -187,11 +187,11 @@
                 route,
                 info.remaining_wait_s,
                 request_fingerprint(req, info),
-                req.way_s,
+                req.network_s,
             )
         )
 
-    def gone(self, req: HttpRequest) -> None:
+    def handle_disconnect(self, req: HttpRequest) -> None:
         """Discards a request whose connection closed."""
         if self._requests.pop(req.token, None) is not None:
             self._ticker.put(CallerGone(req.token))
@@ -243,12 +243,12 @@
         elif isinstance(msg, parts.PartClosed):
             self._peers.close(self.clock.now(), msg)
         elif isinstance(msg, feed.HelpersUpdated):
-            self._peers.want(msg.helpers)
+            self._peers.set_addresses(msg.helpers)
         elif isinstance(msg, CloseIdle):
-            self._pool.close_address(msg.address)
+            self._pool.close_idle_to(msg.address)
         elif isinstance(msg, ProbeSearcher):
             done = partial(self._probe_done, msg.searcher)
-            self._pool.probe(msg.address, done)
+            self._pool.check_listening(msg.address, done)
         elif isinstance(msg, feed.DocumentUpdated):
             self._apply_document(msg)
         elif isinstance(msg, feed.StandingChanged):
@@ -270,7 +270,7 @@
         )
 
     def _attempt_done(
-        self, msg: StartAttempt, result: HttpAnswer | HttpFailure
+        self, msg: StartAttempt, result: HttpResponse | HttpFailure
     ) -> None:
         self._sends.pop(msg.attempt_id, None)
         if isinstance(result, HttpFailure):
@@ -280,7 +280,7 @@
                 outcome,
                 stale=result.stale,
                 reason=result.reason,
-                began=result.began,
+                response_began=result.response_began,
             )
         else:
             info = self._dialect.read_answer(result)
@@ -307,16 +307,16 @@
             "document_version": self._view.number,
             "ready": float(self.ready),
             "entries_known": self._view.entries,
-            "links": len(self._links.open),
+            "links": len(self._links.open_links),
             "link_bytes_sent_total": self._links.sent_bytes,
             "peer_bytes_sent_total": self._peers.sent_bytes,
-            "searcher_connections_opened_total": self._pool.opened,
+            "searcher_connections_opened_total": self._pool.opened_count,
             "caller_connections": len(self._callers.conns),
             "tick_failures_total": self._ticker.failures,
             "log_lines_lost_total": log.lines_lost(),
         }
 
     def _sweep(self) -> None:
-        self._pool.sweep()
+        self._pool.close_expired()
         self._metrics.update_histograms()
         asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
--- a/greengagemoor/serving/event_log.py
+++ b/greengagemoor/serving/event_log.py
@@ -7,7 +7,7 @@
 from greengagemoor import log
 from greengagemoor.feed import messages as feed
 from greengagemoor.feed.suspects import Standing, standing_of
-from greengagemoor.util.linebudget import LineBudget
+from greengagemoor.util.line_budget import LineBudget
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -94,8 +94,8 @@
 
     def note(self, now: float, row: feed.Suspect) -> None:
         """Logs one change, and how many were left out since the last line."""
-        if self._budget.take(now):
-            _log_standing(row, self._budget.take_dropped())
+        if self._budget.try_take(now):
+            _log_standing(row, self._budget.reset_dropped())
 
 
 def _log_standing(row: feed.Suspect, dropped: int) -> None:
--- a/greengagemoor/serving/health.py
+++ b/greengagemoor/serving/health.py
@@ -17,10 +17,10 @@
         self._app = app
         self._dialect = dialect
 
-    def take(self, req: HttpRequest) -> None:
+    def handle_request(self, req: HttpRequest) -> None:
         """Answers a check at once."""
         reply = self._dialect.write_ready(self._app.ready)
         req.conn.reply(req, reply.status, reply.headers, reply.body)
 
-    def gone(self, req: HttpRequest) -> None:
+    def handle_disconnect(self, req: HttpRequest) -> None:
         """Does nothing: no check is pending."""
--- a/greengagemoor/serving/metrics.py
+++ b/greengagemoor/serving/metrics.py
@@ -97,12 +97,12 @@
         for name, value in sorted({**self._totals, **self._gauges()}.items()):
             yield f"{PREFIX}{name} {value:g}"
 
-    def take(self, req: HttpRequest) -> None:
+    def handle_request(self, req: HttpRequest) -> None:
         """Answers a request for the metrics."""
         reply = Reply(200, ((b"Content-Type", b"text/plain"),))
         req.conn.reply(req, reply.status, reply.headers, self.text().encode())
 
-    def gone(self, req: HttpRequest) -> None:
+    def handle_disconnect(self, req: HttpRequest) -> None:
         """Does nothing: no request is pending."""
 
 
--- a/greengagemoor/serving/open_calls.py
+++ b/greengagemoor/serving/open_calls.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor import log
-from greengagemoor.util.linebudget import LineBudget
+from greengagemoor.util.line_budget import LineBudget
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -86,7 +86,7 @@
     def note(self, now: float, target: str, reason: Exception) -> None:
         """Counts a call; logs it within the budget."""
         self.total += 1
-        if self._budget.take(now):
+        if self._budget.try_take(now):
             log.event(
                 "bad_call",
                 target=target[:MAX_FIELD_CHARACTERS],
--- a/greengagemoor/serving/operators.py
+++ b/greengagemoor/serving/operators.py
@@ -179,10 +179,10 @@
         self._next_handler = next_handler
         self._operators = operators
 
-    def take(self, req: HttpRequest) -> None:
+    def handle_request(self, req: HttpRequest) -> None:
         """Answers a call, submits it or passes it to the next handler."""
         if req.path != EVACUATIONS_PATH:
-            self._next_handler.take(req)
+            self._next_handler.handle_request(req)
         elif req.method == "GET":
             self._operators.read(req, _write_rows)
         elif req.method == "POST":
@@ -192,10 +192,10 @@
                 req, _json(405, {"error": "expected GET or POST"})
             )
 
-    def gone(self, req: HttpRequest) -> None:
+    def handle_disconnect(self, req: HttpRequest) -> None:
         """Discards a call whose connection closed; its operation continues."""
         self._operators.discard(req)
-        self._next_handler.gone(req)
+        self._next_handler.handle_disconnect(req)
 
     def _evacuate(self, req: HttpRequest) -> None:
         try:
--- a/greengagemoor/serving/peers.py
+++ b/greengagemoor/serving/peers.py
@@ -21,7 +21,7 @@
     RequestCopy,
     ToPeer,
 )
-from greengagemoor.util.linebudget import LineBudget
+from greengagemoor.util.line_budget import LineBudget
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -67,9 +67,9 @@
         """
         await self._links.start()
 
-    def want(self, helpers: tuple[Helper, ...]) -> None:
+    def set_addresses(self, helpers: tuple[Helper, ...]) -> None:
         """Maintains a link to each of these entries, and dials no others."""
-        self._links.want({helper.address for helper in helpers})
+        self._links.set_addresses({helper.address for helper in helpers})
 
     @property
     def sent_bytes(self) -> int:
@@ -98,7 +98,7 @@
     def close(self, now: float, msg: PartClosed) -> None:
         """Discards the request of a part, and logs its end."""
         self._requests.pop(msg.token, None)
-        if self._lines.take(now):
+        if self._lines.try_take(now):
             log.event(
                 "part",
                 request_id=msg.request_id,
@@ -108,7 +108,7 @@
                 answered=msg.answered,
                 sends=msg.sends,
                 elapsed_ms=round(1000 * msg.elapsed_s, 1),
-                left_out=self._lines.take_dropped(),
+                left_out=self._lines.reset_dropped(),
             )
 
     def _receive(self, msg: object) -> None:
--- a/greengagemoor/serving/quarantine.py
+++ b/greengagemoor/serving/quarantine.py
@@ -45,10 +45,10 @@
         self._table = table
         self._put = put
 
-    def take(self, req: HttpRequest) -> None:
+    def handle_request(self, req: HttpRequest) -> None:
         """Answers a call."""
         if req.path != QUARANTINE_PATH:
-            self._metrics.take(req)
+            self._metrics.handle_request(req)
         elif req.method == "GET":
             _reply(req, 200, {"requests": self._rows()})
         elif req.method == "POST":
@@ -56,7 +56,7 @@
         else:
             _reply(req, 405, {"error": "expected GET or POST"})
 
-    def gone(self, req: HttpRequest) -> None:
+    def handle_disconnect(self, req: HttpRequest) -> None:
         """Does nothing: each call is answered at once."""
 
     def _rows(self) -> list[dict[str, Any]]:
--- a/greengagemoor/serving/request_log.py
+++ b/greengagemoor/serving/request_log.py
@@ -6,7 +6,7 @@
 
 from greengagemoor import log
 from greengagemoor.forward.messages import Ending
-from greengagemoor.util.linebudget import LineBudget
+from greengagemoor.util.line_budget import LineBudget
 
 if TYPE_CHECKING:
     from greengagemoor.forward.messages import Respond, Step
@@ -47,16 +47,16 @@
         budget = self._expected if expected else self._others
         if not expected:
             for step in msg.steps:
-                if budget.take(now):
+                if budget.try_take(now):
                     _log_step(msg, step)
-        if budget.take(now):
+        if budget.try_take(now):
             _log_answer(msg, document)
         if now - self._dropped_logged_at >= DROPPED_INTERVAL_S:
             self._dropped_logged_at = now
             self._log_dropped()
 
     def _log_dropped(self) -> None:
-        dropped = self._expected.take_dropped() + self._others.take_dropped()
+        dropped = self._expected.reset_dropped() + self._others.reset_dropped()
         if dropped:
             log.event("log_lines_dropped", number=dropped)
 
--- a/greengagemoor/shell/backend_api.py
+++ b/greengagemoor/shell/backend_api.py
@@ -15,7 +15,7 @@
     Failure,
     ShardResult,
 )
-from greengagemoor.util import shape
+from greengagemoor.util import json_conversion
 
 if TYPE_CHECKING:
     from greengagemoor.query.messages import StartAttempt
@@ -109,7 +109,7 @@
 def _read_results(
     msg: StartAttempt, process: str, data: bytes
 ) -> AttemptAnswer | AttemptFailed:
-    body = shape.parse_json(data, AnswerBody)
+    body = json_conversion.decode_json(data, AnswerBody)
     if body.attempt_id != global_attempt_id(process, msg.attempt_id):
         return AttemptFailed(msg.attempt_id, Failure.MISMATCH)
     return AttemptAnswer(
@@ -125,7 +125,7 @@
 
 
 def _read_refusal(msg: StartAttempt, status: int, data: bytes) -> AttemptFailed:
-    body = shape.parse_json(data, RefusalBody)
+    body = json_conversion.decode_json(data, RefusalBody)
     return AttemptFailed(
         attempt_id=msg.attempt_id,
         failure=_failure_of(status, body),
--- a/greengagemoor/shell/routes.py
+++ b/greengagemoor/shell/routes.py
@@ -24,7 +24,7 @@
     answer_response,
     json_response,
 )
-from greengagemoor.util import shape
+from greengagemoor.util import json_conversion
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -166,7 +166,7 @@
 @route("POST", "/v1/announcements")
 def _announce(req: HttpRequest) -> Response:
     try:
-        body = shape.parse_json(req.body, AnnouncementBody)
+        body = json_conversion.decode_json(req.body, AnnouncementBody)
     except InvalidInputError as exc:
         req.app.metrics.count("announcements_invalid")
         fields = {"faults": list(exc.faults)}
@@ -187,7 +187,7 @@
 
 @route("POST", "/v1/services/([^/]+)/requests")
 def _request(req: HttpRequest) -> Response:
-    body = shape.parse_json(req.body, RequestBody)
+    body = json_conversion.decode_json(req.body, RequestBody)
     if not req.app.gate.acquire(blocking=False):
         req.app.note_gate_full()
         fields = {
@@ -245,7 +245,7 @@
 
 @route("PUT", "/v1/document")
 def _apply_document(req: HttpRequest) -> Response:
-    body = shape.parse_json(req.body, ApplyBody)
+    body = json_conversion.decode_json(req.body, ApplyBody)
     command = ApplyDocument(
         apply_id=body.apply_id,
         replaces=body.replaces,
--- a/greengagemoor/storage/folder.py
+++ b/greengagemoor/storage/folder.py
@@ -102,11 +102,13 @@
         created = FolderFormat(
             FORMAT_VERSION, owner, os.urandom(IDENTITY_BYTES).hex()
         )
-        self.write_whole(file.name, json.dumps(attrs.asdict(created)).encode())
+        self.write_atomically(
+            file.name, json.dumps(attrs.asdict(created)).encode()
+        )
         self.is_new = True
         return created
 
-    def write_whole(self, name: str, data: bytes) -> None:
+    def write_atomically(self, name: str, data: bytes) -> None:
         """Replaces a file atomically: a crash leaves the old or the new one."""
         temporary = self.path / f"{name}.new"
         with temporary.open("wb") as file:
--- a/greengagemoor/storage/store.py
+++ b/greengagemoor/storage/store.py
@@ -59,7 +59,7 @@
                     "instance joins again under a new identity"
                 )
             self._start_generation(1, [])
-            self._folder.write_whole("USED", b"1")
+            self._folder.write_atomically("USED", b"1")
             return Recovered(None, None, ())
         self._generation = max(generations)
         snapshot = self._read_snapshot()
@@ -154,7 +154,7 @@
         generation = self._generation + 1
         payload = SNAPSHOT + codec.encode(operation.snapshot)
         path = self._snapshot_path(generation)
-        self._folder.write_whole(path.name, records.frame(payload))
+        self._folder.write_atomically(path.name, records.frame(payload))
         old = self._journal
         self._start_generation(generation, _records_of(operation))
         old.close()
@@ -164,7 +164,7 @@
         """Makes a journal; the file is renamed into place once it is synced."""
         path = self._journal_path(generation)
         framed = [records.frame(payload) for payload in [MARK, *payloads, MARK]]
-        self._folder.write_whole(path.name, b"".join(framed))
+        self._folder.write_atomically(path.name, b"".join(framed))
         self._generation = generation
         self._journal = path.open("r+b")
         self._journal.seek(0, os.SEEK_END)
--- a/greengagemoor/util/shape.py
+++ b/greengagemoor/util/json_conversion.py
@@ -90,7 +90,7 @@
         raise InvalidInputError([f"expected an object @ $ ({exc})"]) from exc
 
 
-def parse_json(text: str | bytes, cls: type[T]) -> T:
+def decode_json(text: str | bytes, cls: type[T]) -> T:
     """Decodes JSON text and builds an attrs instance; see ``from_json``."""
     try:
         value = json.loads(text)
@@ -104,6 +104,6 @@
     return _converter().unstructure(value)
 
 
-def dump_json(value: Any) -> str:
+def encode_json(value: Any) -> str:
     """Returns canonical JSON text: sorted keys, no spaces."""
     return json.dumps(to_json(value), sort_keys=True, separators=(",", ":"))
--- a/greengagemoor/util/linebudget.py
+++ b/greengagemoor/util/line_budget.py
@@ -12,7 +12,7 @@
     Attributes:
         per_s: sustained rate, in lines per second.
         burst: lines that may be written at once.
-        dropped: lines dropped since ``take_dropped`` was called.
+        dropped: lines dropped since ``reset_dropped`` was called.
     """
 
     per_s: float
@@ -25,7 +25,7 @@
     def _initial_tokens(self) -> float:
         return self.burst
 
-    def take(self, now: float) -> bool:
+    def try_take(self, now: float) -> bool:
         """Takes a token and returns True, or counts a dropped line."""
         gained = (now - self._updated_at) * self.per_s
         self._tokens = min(self.burst, self._tokens + max(0.0, gained))
@@ -36,7 +36,7 @@
         self._tokens -= 1.0
         return True
 
-    def take_dropped(self) -> int:
+    def reset_dropped(self) -> int:
         """Returns the number of lines dropped since the last call."""
         dropped, self.dropped = self.dropped, 0
         return dropped
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from greengagemoor.aio.client import HttpAnswer
+from greengagemoor.aio.client import HttpResponse
 from greengagemoor.aio.pool import Pool
 from greengagemoor.forward.mergers import merge_greatest
 from soak.cluster import PORTS
@@ -192,7 +192,7 @@
         outcome = await wait_for_result(DEADLINE_MS / 1000, fut)
         if outcome is None:
             sending.cancel()
-        status = outcome.status if isinstance(outcome, HttpAnswer) else 0
+        status = outcome.status if isinstance(outcome, HttpResponse) else 0
         if name == CRASH_PATH_SUFFIX:
             return status
         self.statuses[status] += 1
@@ -252,7 +252,7 @@
                 )
 
 
-def retry_after(outcome: HttpAnswer) -> float:
+def retry_after(outcome: HttpResponse) -> float:
     """Returns the seconds of the ``Retry-After`` header, or 0 without one."""
     headers = {key.lower(): value for key, value in outcome.headers}
     return float(headers.get(b"retry-after", b"0"))
--- a/soak/searchers.py
+++ b/soak/searchers.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from greengagemoor.aio.client import HttpAnswer
+from greengagemoor.aio.client import HttpResponse
 from greengagemoor.aio.pool import Pool
 from greengagemoor.aio.requests import Limits
 from greengagemoor.aio.server import HttpServer
@@ -45,7 +45,7 @@
 
 async def call(
     pool: Pool, address: str, method: str, path: str, body: bytes = b""
-) -> HttpAnswer | None:
+) -> HttpResponse | None:
     """Makes one HTTP call; None without a complete answer within 1 s."""
     fut = asyncio.get_running_loop().create_future()
     head = (
@@ -61,7 +61,7 @@
     outcome = await wait_for_result(1.0, fut)
     if outcome is None:
         sending.cancel()
-    return outcome if isinstance(outcome, HttpAnswer) else None
+    return outcome if isinstance(outcome, HttpResponse) else None
 
 
 class Searcher:
@@ -131,7 +131,7 @@
                 return True
         return False
 
-    def take(self, req) -> None:
+    def handle_request(self, req) -> None:
         """Answers a request after the work time."""
         loop = asyncio.get_running_loop()
         if (req.header(b"expect-instance") or "") != self.searcher_id:
@@ -148,7 +148,7 @@
         work_s = 0.3 if loop.time() < self.slow_until else 0.005
         loop.call_later(work_s, self._answer, req, request_id)
 
-    def gone(self, req) -> None:
+    def handle_disconnect(self, req) -> None:
         """Ignores that the entry cancelled the request."""
 
     def _answer(self, req, request_id: str) -> None:
--- a/tests/stories.py
+++ b/tests/output_text.py
@@ -26,7 +26,7 @@
     return isinstance(payload, (Probe, Ack, AppendReply))
 
 
-def story(fleet: FakeFleet) -> str:
+def format_output(fleet: FakeFleet) -> str:
     """Returns a line for each output message of all nodes but heartbeats."""
     lines = [
         f"{at:8.3f} {name}: {_format(msg)}"
--- a/tests/test_aio/test_client.py
+++ b/tests/test_aio/test_client.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from greengagemoor.aio.client import HttpAnswer, HttpFailure
+from greengagemoor.aio.client import HttpFailure, HttpResponse
 from greengagemoor.aio.pool import Pool
 from tests.test_aio.helpers import ok, raw_server, read_head, reset, run
 
@@ -140,7 +140,7 @@
                 return await ask(Pool(), address, echoes_id(b"new"))
 
         answer = run(main())
-        assert isinstance(answer, HttpAnswer)
+        assert isinstance(answer, HttpResponse)
         assert answer.body == b"right"
         assert answer.headers[0] == (b"Id", b"new")
         assert (b"Stamp", b"old") not in answer.headers
@@ -180,7 +180,7 @@
                 pool = Pool()
                 await ask(pool, address)
                 await asyncio.sleep(0.15)
-                return (await ask(pool, address)).body, pool.opened
+                return (await ask(pool, address)).body, pool.opened_count
 
         assert run(main()) == (b"right", 2)
 
--- a/tests/test_aio/test_links.py
+++ b/tests/test_aio/test_links.py
@@ -11,7 +11,7 @@
 import pytest
 
 from greengagemoor.aio import links as links_module
-from greengagemoor.aio.dialpace import DialBackoff
+from greengagemoor.aio.dial_backoff import DialBackoff
 from greengagemoor.aio.links import Links
 from greengagemoor.control.messages import Received, Send
 from greengagemoor.feed.messages import (
@@ -65,7 +65,7 @@
     host, port = server._server.sockets[0].getsockname()
     client = Links("two", "", two.put)
     await client.start()
-    client.want({f"{host}:{port}"})
+    client.set_addresses({f"{host}:{port}"})
     await one.get(LinkUp)
     await two.get(LinkUp)
     return server, one, client, two
@@ -88,7 +88,7 @@
     def test_closed_link_is_reported_and_dialled_again(self):
         async def main():
             server, one, _, two = await linked_pair()
-            for link in list(server.open):
+            for link in list(server.open_links):
                 link.close()
             await two.get(LinkDown)
             await two.get(LinkUp)
@@ -100,7 +100,7 @@
 
         async def main():
             server, _, client, two = await linked_pair()
-            for link in client.open:
+            for link in client.open_links:
                 link.last_received_at -= (
                     links_module.DIALLED_SILENCE_TIMEOUT_S + 1
                 )
@@ -128,7 +128,7 @@
         async def main():
             server, one, client, two = await linked_pair()
             head = struct.pack("!I", len(body) | links_module.COMPRESSED_FLAG)
-            for link in client.open:
+            for link in client.open_links:
                 link._transport.write(head + body)
             await one.get(LinkDown)
 
@@ -156,7 +156,7 @@
             first = await one.get(Received)
             before = client.sent_bytes
             client._check_links()
-            for link in client.open:
+            for link in client.open_links:
                 link.send([])
             client.send(Send("one", DocumentNumber(2)))
             return first, await one.get(Received), client.sent_bytes - before
@@ -168,7 +168,7 @@
     def test_invalid_frame_closes_the_link(self):
         async def main():
             server, one, client, two = await linked_pair()
-            for link in client.open:
+            for link in client.open_links:
                 link._transport.write(b"\xff\xff\xff\xff nonsense")
             await one.get(LinkDown)
 
@@ -203,9 +203,9 @@
                 raise ConnectionRefusedError
 
             monkeypatch.setattr(loop, "create_connection", refuse)
-            client.want({"127.0.0.1:1"})
+            client.set_addresses({"127.0.0.1:1"})
             await asyncio.sleep(0.05)
-            client.want({"127.0.0.1:2"})
+            client.set_addresses({"127.0.0.1:2"})
             del dialled[:]
             await asyncio.sleep(0.1)
 
@@ -217,7 +217,7 @@
 
         async def main():
             server, one, client, two = await linked_pair()
-            client.want(set())
+            client.set_addresses(set())
             await asyncio.sleep(0.01)
             client.send(Send("one", DocumentNumber(1)))
             return await one.get(Received)
@@ -227,10 +227,10 @@
     def test_address_added_again(self):
         async def main():
             server, one, client, two = await linked_pair()
-            address = next(iter(client.open)).dialled
-            client.want(set())
-            client.want({address})
-            for link in list(client.open):
+            address = next(iter(client.open_links)).dialled
+            client.set_addresses(set())
+            client.set_addresses({address})
+            for link in list(client.open_links):
                 link.close()
             await two.get(LinkDown)
             await two.get(LinkUp)
@@ -254,7 +254,7 @@
         while at < 2.0:
             begun.append(at)
             at += backoff.connect_s + backoff.wait_s
-            backoff.note_failure()
+            backoff.record_failure()
         gaps = [later - earlier for earlier, later in itertools.pairwise(begun)]
         early = [gap for gap, at in zip(gaps, begun, strict=False) if at < 0.5]
         assert max(early) < 0.15
@@ -262,5 +262,5 @@
     def test_intervals_grow_to_a_bound(self):
         backoff = DialBackoff()
         for _ in range(100):
-            backoff.note_failure()
-        assert backoff.connect_s + backoff.wait_s == 2 * backoff.longest_s
+            backoff.record_failure()
+        assert backoff.connect_s + backoff.wait_s == 2 * backoff.max_s
--- a/tests/test_aio/test_server.py
+++ b/tests/test_aio/test_server.py
@@ -22,13 +22,13 @@
         self.disconnected = []
         self.changed = asyncio.Event()
 
-    def take(self, req):
+    def handle_request(self, req):
         self.reqs.append(req)
         self.changed.set()
         if self.answer:
             req.conn.reply(req, 200, (), req.target.encode())
 
-    def gone(self, req):
+    def handle_disconnect(self, req):
         self.disconnected.append(req)
         self.changed.set()
 
--- a/tests/test_aio/test_sockets.py
+++ b/tests/test_aio/test_sockets.py
@@ -16,11 +16,11 @@
     def __init__(self):
         self.requests: list[HttpRequest] = []
 
-    def take(self, req):
+    def handle_request(self, req):
         self.requests.append(req)
         req.conn.reply(req, 200)
 
-    def gone(self, req):
+    def handle_disconnect(self, req):
         pass
 
 
@@ -33,7 +33,7 @@
     for _ in range(2):
         writer.write(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
         await reader.readuntil(b"\r\n\r\n")
-    network_times = [req.way_s for req in handler.requests]
+    network_times = [req.network_s for req in handler.requests]
     writer.close()
     server.stop_accepting()
     return network_times
--- a/tests/test_control/test_apply.py
+++ b/tests/test_control/test_apply.py
@@ -8,7 +8,7 @@
 
 from greengagemoor.codes import Code
 from greengagemoor.control import replication
-from tests.stories import story
+from tests.output_text import format_output
 from tests.test_control.helpers import (
     GROUP,
     Operator,
@@ -223,4 +223,4 @@
         fleet.run_until(fleet.leader)
         at = next(iter(fleet.nodes))
         operator.wait(operator.apply(at, "mine", 0, 1))
-        file_regression.check(story(fleet))
+        file_regression.check(format_output(fleet))
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -11,7 +11,7 @@
 from greengagemoor.document import Document, parse_document
 from greengagemoor.shell.backend_api import AnswerBody, RefusalBody
 from greengagemoor.shell.http_messages import AnnouncementBody, RequestBody
-from greengagemoor.util import shape
+from greengagemoor.util import json_conversion
 
 DOCS = Path(__file__).parent.parent / "docs"
 EXAMPLE = re.compile(r"<!-- example: (\w+) -->\n```json\n(.*?)```", re.S)
@@ -39,7 +39,7 @@
         if name == Document.__name__:
             assert parse_document(text).services
         else:
-            assert shape.parse_json(text, CLASSES[name])
+            assert json_conversion.decode_json(text, CLASSES[name])
 
 
 class TestReadme:
--- a/tests/test_forward/test_evidence.py
+++ b/tests/test_forward/test_evidence.py
@@ -48,7 +48,7 @@
     def test_connection_broken_within_an_answer(self):
         bench = Bench()
         (sent,) = starts(bench.arrive(single(), fingerprint=b"f"))
-        out = bench.end(sent, Outcome.BROKEN, began=True)
+        out = bench.end(sent, Outcome.BROKEN, response_began=True)
         assert not any(isinstance(msg, ProbeSearcher) for msg in out)
 
     def test_request_without_a_fingerprint(self):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,7 +10,7 @@
 from greengagemoor.membership.messages import Announce, AskAddresses
 from greengagemoor.query.messages import Request
 from tests.fakes import DOCUMENT, FakeFleet, answer_to, server
-from tests.stories import story
+from tests.output_text import format_output
 
 
 def start_fleet(entries=("e1", "e2"), controls=("c1",), seed: int = 1):
@@ -61,4 +61,4 @@
         fleet.run(1.0)
         fleet.put("e2", attrs.evolve(booking, token=4))
         fleet.run(1.0)
-        file_regression.check(story(fleet))
+        file_regression.check(format_output(fleet))
--- a/tests/test_platform/test_adapter.py
+++ b/tests/test_platform/test_adapter.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from greengagemoor.aio.client import HttpAnswer
+from greengagemoor.aio.client import HttpResponse
 from greengagemoor.aio.requests import HttpRequest
 from greengagemoor.errors import (
     DocumentError,
@@ -84,7 +84,7 @@
 
 
 def answer(*headers, status=200, body=b"", closes=False):
-    return HttpAnswer(status, tuple(headers), body, closes)
+    return HttpResponse(status, tuple(headers), body, closes)
 
 
 class TestBoot:
--- a/tests/test_serving/helpers.py
+++ b/tests/test_serving/helpers.py
@@ -19,8 +19,8 @@
 class Metrics:
     """Stand-in for the metrics page, to which other paths are passed."""
 
-    def take(self, req):
+    def handle_request(self, req):
         req.conn.reply(req, 200, (), b"metrics")
 
-    def gone(self, req):
+    def handle_disconnect(self, req):
         pass
--- a/tests/test_serving/test_control.py
+++ b/tests/test_serving/test_control.py
@@ -64,7 +64,9 @@
         for number, body in enumerate(bodies):
             caller = Caller()
             target = f"/v1/instances/i{number}/heartbeat"
-            app.take(HttpRequest("POST", target, [], body, 0.0, caller))
+            app.handle_request(
+                HttpRequest("POST", target, [], body, 0.0, caller)
+            )
             for _ in range(LOOP_TURNS):
                 await asyncio.sleep(0)
             statuses.append(caller.statuses)
@@ -140,4 +142,4 @@
         reply = JoinReply("group", "10.0.0.3#a", False, "10.0.0.9#a", (leader,))
         app, _ = play([], member_without_group(), Received("10.0.0.3", reply))
         assert "10.0.0.9" in app._client.targets
-        assert "10.0.0.9:7740" in app._links._wanted
+        assert "10.0.0.9:7740" in app._links.dial_tasks_by_address
--- a/tests/test_serving/test_entry.py
+++ b/tests/test_serving/test_entry.py
@@ -36,11 +36,11 @@
 class SlowHandler:
     """Answers each request after a delay, as a searcher would."""
 
-    def take(self, req):
+    def handle_request(self, req):
         loop = asyncio.get_running_loop()
         loop.call_later(ANSWER_S, req.conn.reply, req, 200)
 
-    def gone(self, req):
+    def handle_disconnect(self, req):
         pass
 
 
--- a/tests/test_serving/test_operators.py
+++ b/tests/test_serving/test_operators.py
@@ -44,7 +44,9 @@
 
     def call(self, method, path="/evacuations", body=b""):
         caller = Caller()
-        self.page.take(HttpRequest(method, path, [], body, 0.0, caller))
+        self.page.handle_request(
+            HttpRequest(method, path, [], body, 0.0, caller)
+        )
         return caller
 
     def end(self, code, **more):
--- a/tests/test_serving/test_quarantine.py
+++ b/tests/test_serving/test_quarantine.py
@@ -30,7 +30,7 @@
         self.messages = []
         page = QuarantinePage(Metrics(), table, self.messages.append)
         caller = Caller()
-        page.take(HttpRequest(method, path, [], body, 0.0, caller))
+        page.handle_request(HttpRequest(method, path, [], body, 0.0, caller))
         return caller
 
     def test_list(self):
--- a/tests/test_soak/test_calls.py
+++ b/tests/test_soak/test_calls.py
@@ -10,7 +10,7 @@
 class ImmediatePool:
     """Fake pool whose answer arrives in the next iteration of the loop."""
 
-    def send(self, address, data, done, is_mine):
+    def send(self, address, data, done, matches_request):
         asyncio.get_running_loop().call_soon(done, None)
         return self
 
--- a/tests/test_util/test_lines.py
+++ b/tests/test_util/test_lines.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from greengagemoor.util.linebudget import LineBudget
-from greengagemoor.util.linewriter import MAX_QUEUED_LINES, LineWriter
+from greengagemoor.util.line_budget import LineBudget
+from greengagemoor.util.line_writer import MAX_QUEUED_LINES, LineWriter
 
 
 @pytest.fixture
@@ -64,8 +64,8 @@
 
     def test_burst_then_rate(self):
         budget = LineBudget(per_s=10.0, burst=5.0)
-        results = [budget.take(100.0) for _ in range(8)]
+        results = [budget.try_take(100.0) for _ in range(8)]
         assert results == [True] * 5 + [False] * 3
-        assert budget.take(100.2)
-        assert budget.take_dropped() == 3
-        assert budget.take_dropped() == 0
+        assert budget.try_take(100.2)
+        assert budget.reset_dropped() == 3
+        assert budget.reset_dropped() == 0
