--- a/bench/entry_costs.py
+++ b/bench/entry_costs.py
@@ -54,7 +54,7 @@
             await HttpServer(address, _Searcher(), Limits()).start()
         await asyncio.sleep(600)
 
-    log.set_up("ERROR", "bench")
+    log.configure_loguru("ERROR", "bench")
     asyncio.run(main())
 
 
@@ -141,7 +141,7 @@
 
 def main() -> None:
     """Runs the searchers and prints the costs of the entry."""
-    log.set_up("ERROR", "bench")
+    log.configure_loguru("ERROR", "bench")
     process = multiprocessing.Process(target=_run_searchers, daemon=True)
     process.start()
     time.sleep(1.0)
--- a/greengagemoor/application.py
+++ b/greengagemoor/application.py
@@ -13,13 +13,13 @@
 from greengagemoor.control.client import Done
 from greengagemoor.control.decider import ControlDecider
 from greengagemoor.control.state import Timing as ControlTiming
-from greengagemoor.events import Events
+from greengagemoor.events import EventListeners
 from greengagemoor.membership import messages as membership
 from greengagemoor.membership.decider import MembershipDecider
 from greengagemoor.membership.rows import InstanceRow, InstanceState, hash64
 from greengagemoor.membership.state import Timing as MembershipTiming
 from greengagemoor.metrics import Metrics
-from greengagemoor.node import CloseEntry, Node, StartUp
+from greengagemoor.node import Node, RejectNewRequests, StartUp
 from greengagemoor.query import messages as query
 from greengagemoor.query.decider import QueryDecider
 from greengagemoor.shell import notes, routes, status
@@ -59,9 +59,9 @@
         self.cfg = cfg
         self.clock = Clock()
         self.metrics = Metrics()
-        self.events = Events()
+        self.events = EventListeners()
         self.routes = list(routes.ROUTES)
-        self.gate = threading.Semaphore(cfg.waiting_requests)
+        self.request_slots = threading.Semaphore(cfg.waiting_requests)
         self._replies = Replies()
         self._store: Store | None = None
         self._member_id = ""
@@ -170,7 +170,7 @@
         notes.connect(add, self.events)
 
     def _handle_reply(self, reply: query.Reply) -> None:
-        self.metrics.note_reply(reply)
+        self.metrics.record_reply(reply)
         self._replies.give(reply.token, reply)
         log.event(
             "answer",
@@ -215,7 +215,7 @@
         self._loop.put(membership.Leave())
         if self.cfg.is_entry:
             time.sleep(self.cfg.addresses_valid_s + self.cfg.leave_margin_s)
-            self._loop.put(CloseEntry())
+            self._loop.put(RejectNewRequests())
             self._wait_until_idle()
         self._loop.put(membership.Stop())
         time.sleep(IDLE_POLL_S)
@@ -248,7 +248,7 @@
         self._loop.put(make(token))
         return self._replies.wait(token, fut, wait_s)
 
-    def note_gate_full(self) -> None:
+    def record_gate_refusal(self) -> None:
         """Counts a refusal at the gate and reports this entry as overloaded.
 
         Callers are then given other entries.
--- a/greengagemoor/backends.py
+++ b/greengagemoor/backends.py
@@ -16,7 +16,7 @@
 
 MAX_VERSIONS = 8
 MAX_SHARDS = 20_000
-MAX_GUARDIANS = 4
+MAX_ANNOUNCED_TO = 4
 """Instances with which a backend server may renew its announcement."""
 
 
@@ -83,7 +83,7 @@
     connect_cost_s: float = attrs.field(default=0.0, validator=in_range(0, 60))
     load: float = attrs.field(default=0.0, validator=in_range(0, 1000))
     announced_to: tuple[str, ...] = attrs.field(
-        default=(), validator=[at_most(MAX_GUARDIANS), unique_by(str)]
+        default=(), validator=[at_most(MAX_ANNOUNCED_TO), unique_by(str)]
     )
 
     @property
--- a/greengagemoor/claims.py
+++ b/greengagemoor/claims.py
@@ -48,13 +48,13 @@
     """Marks replies to recorded outcomes, which are not waited for."""
 
 
-class Claims:
+class ClaimTracker:
     """Claims in progress in this process, by the token of their request."""
 
     def __init__(self):
         self._claim_ids: dict[int, str] = {}
 
-    def ask(
+    def claim_operation(
         self, me: InstanceRow, now: float, msg: ClaimWanted
     ) -> OperationRequest:
         """Returns the operation that claims a request.
@@ -82,7 +82,9 @@
             token, OpKind.CLAIM, now + CLAIM_WAIT_S, command
         )
 
-    def record(self, now: float, msg: OutcomeKnown) -> OperationRequest | None:
+    def outcome_operation(
+        self, now: float, msg: OutcomeKnown
+    ) -> OperationRequest | None:
         """Returns the operation that records an outcome.
 
         None if this process has no claim for the request.
@@ -103,7 +105,7 @@
             OutcomeToken(), OpKind.OUTCOME, deadline, command
         )
 
-    def decided(self, done: Done) -> ClaimDecided:
+    def to_claim_decided(self, done: Done) -> ClaimDecided:
         """Returns the result of a claim for the query decider."""
         token: ClaimToken = done.token
         return ClaimDecided(
@@ -115,7 +117,9 @@
             outcome=done.reply.text,
         )
 
-    def give_back(self, now: float, done: Done) -> OperationRequest | None:
+    def release_operation(
+        self, now: float, done: Done
+    ) -> OperationRequest | None:
         """Returns the operation that releases a claim that was not granted.
 
         A claim that was not answered in time may still be granted later;
@@ -135,7 +139,7 @@
             code=Code.NOT_RUN_NO_CONTROL,
             outcome="",
         )
-        return self.record(now, released)
+        return self.outcome_operation(now, released)
 
 
 def _verdict(done: Done) -> ClaimVerdict:
--- a/greengagemoor/cmd/ctl.py
+++ b/greengagemoor/cmd/ctl.py
@@ -13,8 +13,8 @@
 import typer
 
 from greengagemoor.cmd import evacuations, logs, quarantine
-from greengagemoor.cmd.calls import At, Exit, call, end_with
-from greengagemoor.cmd.calls import show as show_body
+from greengagemoor.cmd.http_calls import At, Exit, call_instance, exit_with
+from greengagemoor.cmd.http_calls import show as show_body
 from greengagemoor.codes import Code
 from greengagemoor.config import Settings
 from greengagemoor.document import parse_document
@@ -78,13 +78,13 @@
         "replaces": replaces,
         "document": decoded,
     }
-    reply = call(at, "PUT", "/v1/document", body)
+    reply = call_instance(at, "PUT", "/v1/document", body)
     show_body({"apply_id": body["apply_id"], **reply.body})
-    end_with(reply)
+    exit_with(reply)
 
 
 def _current(at: str) -> dict[str, Any]:
-    reply = call(at, "GET", "/v1/document")
+    reply = call_instance(at, "GET", "/v1/document")
     if reply.body.get("code") != Code.CURRENT:
         show_body(reply.body)
         raise typer.Exit(Exit.REFUSED)
@@ -122,20 +122,20 @@
 @app.command()
 def status(at: At = DEFAULT_AT) -> None:
     """Shows an instance's view: document, instances, backend servers."""
-    reply = call(at, "GET", "/v1/status")
+    reply = call_instance(at, "GET", "/v1/status")
     show_body(reply.body)
-    end_with(reply)
+    exit_with(reply)
 
 
 @app.command()
 def members(at: At = DEFAULT_AT) -> None:
     """Shows the control group, and whether it tolerates a further loss."""
-    reply = call(at, "GET", "/v1/members")
+    reply = call_instance(at, "GET", "/v1/members")
     show_body(reply.body)
     warning = reply.body.get("warning")
     if warning:
         typer.echo(f"warning: {warning}", err=True)
-    end_with(reply)
+    exit_with(reply)
 
 
 @app.command("remove-member")
@@ -144,9 +144,9 @@
     at: At = DEFAULT_AT,
 ) -> None:
     """Removes a member that will not return from the control group."""
-    reply = call(at, "DELETE", f"/v1/members/{member_id}")
+    reply = call_instance(at, "DELETE", f"/v1/members/{member_id}")
     show_body(reply.body)
-    end_with(reply)
+    exit_with(reply)
 
 
 @app.command()
@@ -155,9 +155,9 @@
     at: At = DEFAULT_AT,
 ) -> None:
     """Shows which entries the callers of a service are told to use."""
-    reply = call(at, "GET", f"/v1/addresses?service={service}")
+    reply = call_instance(at, "GET", f"/v1/addresses?service={service}")
     show_body(reply.body)
-    end_with(reply)
+    exit_with(reply)
 
 
 @app.command()
@@ -185,15 +185,17 @@
         "key": key,
         "body": json.loads(body),
     }
-    reply = call(at, "POST", f"/v1/services/{service}/requests", payload)
+    reply = call_instance(
+        at, "POST", f"/v1/services/{service}/requests", payload
+    )
     show_body(reply.body)
-    end_with(reply)
+    exit_with(reply)
 
 
 @app.command()
 def histograms(at: At = DEFAULT_AT) -> None:
     """Shows latency, coverage and attempts by caller and request class."""
-    reply = call(at, "GET", "/v1/histograms")
+    reply = call_instance(at, "GET", "/v1/histograms")
     for row in reply.body["rows"]:
         values = " ".join(f"{value:12g}" for value in row["values"])
         typer.echo(
--- a/greengagemoor/cmd/daemon.py
+++ b/greengagemoor/cmd/daemon.py
@@ -36,7 +36,7 @@
     if check:
         typer.echo(f"{settings}: valid")
         return
-    log.set_up(cfg.log_level, cfg.instance)
+    log.configure_loguru(cfg.log_level, cfg.instance)
     # The signals are blocked in every thread and awaited in this one. With a
     # burst of signals, a handler would interrupt itself; a lock that it takes
     # would already be held, and the process would hang instead of exiting.
--- a/greengagemoor/cmd/calls.py
+++ b/greengagemoor/cmd/http_calls.py
@@ -60,7 +60,7 @@
     text: str
 
 
-def call(at: str, method: str, path: str, body: Any = None) -> Reply:
+def call_instance(at: str, method: str, path: str, body: Any = None) -> Reply:
     """Calls an instance; exits the program if it can't be reached."""
     http = urllib3.PoolManager(retries=False)
     try:
@@ -86,7 +86,7 @@
     typer.echo(json.dumps(body, indent=2, sort_keys=True))
 
 
-def end_with(reply: Reply) -> None:
+def exit_with(reply: Reply) -> None:
     """Exits the program with the exit code for an answer."""
     code = reply.body.get("code") if isinstance(reply.body, dict) else None
     if code is None:
--- a/greengagemoor/cmd/load.py
+++ b/greengagemoor/cmd/load.py
@@ -27,7 +27,7 @@
 
 
 @attrs.define
-class Tally:
+class LoadResults:
     """Results of a run, guarded by ``lock``."""
 
     codes: Counter = attrs.field(factory=Counter)
@@ -37,7 +37,7 @@
     unreachable: int = 0
     lock: threading.Lock = attrs.field(factory=threading.Lock)
 
-    def note(self, code: int | None, seconds: float) -> None:
+    def record(self, code: int | None, seconds: float) -> None:
         """Records one request; ``code`` is None if there was no answer."""
         with self.lock:
             if code is None:
@@ -65,7 +65,7 @@
 class Sender:
     """A connection that sends its part of the request rate."""
 
-    def __init__(self, at: str, plan: Plan, tally: Tally, seed: int):
+    def __init__(self, at: str, plan: Plan, tally: LoadResults, seed: int):
         host, _, port = at.rpartition(":")
         self._pool = urllib3.HTTPConnectionPool(
             host, int(port), maxsize=1, retries=False
@@ -96,7 +96,7 @@
             "body": {"query": self._rng.randrange(plan.distinct)},
         }
         code = self._post(json.dumps(body).encode())
-        self._tally.note(code, time.monotonic() - due)
+        self._tally.record(code, time.monotonic() - due)
 
     def _post(self, body: bytes) -> int | None:
         try:
@@ -114,7 +114,7 @@
 
 def send_load(
     at: str, plan: Plan, rate: float, seconds: float, connections: int
-) -> Tally:
+) -> LoadResults:
     """Sends requests at a steady rate and returns the results.
 
     Args:
@@ -124,7 +124,7 @@
         seconds: duration of the run.
         connections: number of connections that send concurrently.
     """
-    tally = Tally()
+    tally = LoadResults()
     until = time.monotonic() + seconds
     senders = [Sender(at, plan, tally, seed) for seed in range(connections)]
     threads = [
--- a/greengagemoor/cmd/logs.py
+++ b/greengagemoor/cmd/logs.py
@@ -8,10 +8,10 @@
 
 import typer
 
-from greengagemoor.logreading.explain import explain
-from greengagemoor.logreading.lines import LogLine, merge, read_lines
-from greengagemoor.logreading.losses import find_losses, format_report
-from greengagemoor.logreading.timeline import disagreements, timeline
+from greengagemoor.log_analysis.explain import explain
+from greengagemoor.log_analysis.lines import LogLine, merge, read_lines
+from greengagemoor.log_analysis.losses import find_losses, format_report
+from greengagemoor.log_analysis.timeline import disagreements, timeline
 
 Files = Annotated[
     list[Path] | None,
--- a/greengagemoor/events.py
+++ b/greengagemoor/events.py
@@ -27,7 +27,7 @@
 )
 
 
-class Events:
+class EventListeners:
     """Listeners by event; they are called in the order they were added."""
 
     def __init__(self):
--- a/greengagemoor/log.py
+++ b/greengagemoor/log.py
@@ -17,7 +17,7 @@
 _line_writer: LineWriter | None = None
 
 
-def set_up(level: str, instance: str) -> None:
+def configure_loguru(level: str, instance: str) -> None:
     """Sends log lines of at least ``level`` to standard error."""
     from loguru import logger
 
@@ -50,7 +50,7 @@
     )
 
 
-def set_up_plain(instance: str) -> LineWriter:
+def configure_line_writer(instance: str) -> LineWriter:
     """Sends log lines to standard output without ever blocking.
 
     loguru is not used here: its import costs memory in each process, and its
@@ -64,7 +64,7 @@
     return _line_writer
 
 
-def lines_lost() -> int:
+def dropped_lines() -> int:
     """Returns how many lines were dropped so far because of a slow reader."""
     return _line_writer.dropped if _line_writer is not None else 0
 
--- a/greengagemoor/logreading/explain.py
+++ b/greengagemoor/log_analysis/explain.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from greengagemoor.logreading.lines import LogLine
+    from greengagemoor.log_analysis.lines import LogLine
 
 SEARCHER_LOOKBACK_S = 5.0
 """Seconds before an answer in which changes of searchers are reported."""
@@ -105,8 +105,8 @@
     """Yields state changes of the involved searchers shortly before the end."""
     asked = {line.get("searcher") for line in own} - {""}
     for line in lines:
-        recent = answer.at - SEARCHER_LOOKBACK_S <= line.at <= answer.at
+        recent = answer.time - SEARCHER_LOOKBACK_S <= line.time <= answer.time
         same = line.source == answer.source and line.event == "searcher"
         if recent and same and line.get("id") in asked:
-            ago = answer.at - line.at
+            ago = answer.time - line.time
             yield f"  {line.get('id')} {line.get('state')} {ago:.1f} s before"
--- a/greengagemoor/logreading/lines.py
+++ b/greengagemoor/log_analysis/lines.py
@@ -19,12 +19,12 @@
     """One event of one process.
 
     Attributes:
-        at: Unix seconds, by the clock of the machine that wrote the line.
+        time: Unix seconds, by the clock of the machine that wrote the line.
         source: name of the process, from the line's ``instance`` field, else
             the last word before the line, else the file name.
     """
 
-    at: float
+    time: float
     source: str
     event: str
     fields: dict[str, str]
@@ -65,5 +65,5 @@
 def merge(sources: Iterable[list[LogLine]]) -> list[LogLine]:
     """Returns the lines of all sources, sorted by time."""
     return sorted(
-        (line for lines in sources for line in lines), key=lambda x: x.at
+        (line for lines in sources for line in lines), key=lambda x: x.time
     )
--- a/greengagemoor/logreading/losses.py
+++ b/greengagemoor/log_analysis/losses.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from greengagemoor.logreading.lines import LogLine
+    from greengagemoor.log_analysis.lines import LogLine
 
 SERVED = ("answered", "partial")
 WORST_SECONDS = 10
@@ -61,7 +61,7 @@
             asked = sends.pop(line.get("request_id"), Counter())
             _add_answer(losses, line, asked)
         elif line.event == "start":
-            started[line.source] = line.at
+            started[line.source] = line.time
         elif line.event == "ready" and line.get("ready") == "True":
             _add_ready(losses, line, started)
     return losses
@@ -72,7 +72,7 @@
 ) -> None:
     start = started.pop(line.source, None)
     if start is not None:
-        losses.starts.append((line.source, line.at - start))
+        losses.starts.append((line.source, line.time - start))
 
 
 def _add_answer(losses: Losses, line: LogLine, asked: Counter[str]) -> None:
@@ -82,7 +82,7 @@
         losses.partial += 1
         _add_partial(losses, line, asked)
     elif ending not in SERVED:
-        losses.add(line.at, ending, 1.0)
+        losses.add(line.time, ending, 1.0)
 
 
 def _add_partial(losses: Losses, line: LogLine, asked: Counter[str]) -> None:
@@ -91,7 +91,7 @@
     loss = 1.0 - (1.0 - len(missing) / shards) ** 2
     for service, state in missing:
         cause = f"partial: {_cause(state, asked[service])}"
-        losses.add(line.at, cause, loss / len(missing))
+        losses.add(line.time, cause, loss / len(missing))
 
 
 def _missing(detail: str) -> Iterator[tuple[str, str]]:
--- a/greengagemoor/logreading/timeline.py
+++ b/greengagemoor/log_analysis/timeline.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from greengagemoor.logreading.lines import LogLine
+    from greengagemoor.log_analysis.lines import LogLine
 
 SHOWN_FIELDS = {
     "start": ("role",),
@@ -43,7 +43,8 @@
             f"{name}={line.get(name)}" for name in SHOWN_FIELDS[line.event]
         )
         shown.append(
-            f"{line.at:14.3f} {line.source:24} {line.event:10} {words}".rstrip()
+            f"{line.time:14.3f} {line.source:24} {line.event:10} "
+            f"{words}".rstrip()
         )
     return shown
 
@@ -69,7 +70,7 @@
         first = by_term.setdefault(line.get("term"), line.source)
         if first != line.source:
             yield (
-                f"{line.at:.3f} {line.source} leads term {line.get('term')}, "
+                f"{line.time:.3f} {line.source} leads term {line.get('term')}, "
                 f"as does {first}"
             )
 
@@ -85,13 +86,13 @@
             version = int(line.get("version"))
             held[line.source] = max(version, held.get(line.source, 0))
             if version > newest:
-                newest, since = version, line.at
-        if line.at - since <= after_s:
+                newest, since = version, line.time
+        if line.time - since <= after_s:
             continue
         for source, version in held.items():
             if version < newest and (source, newest) not in reported:
                 reported.add((source, newest))
                 yield (
-                    f"{line.at:.3f} {source} still has document {version}, "
-                    f"{newest} was seen {line.at - since:.1f} s ago"
+                    f"{line.time:.3f} {source} still has document {version}, "
+                    f"{newest} was seen {line.time - since:.1f} s ago"
                 )
--- a/greengagemoor/metrics.py
+++ b/greengagemoor/metrics.py
@@ -18,9 +18,9 @@
 """Pairs of caller and request class that have their own series."""
 MAX_CODES = 100
 OTHERS = "others"
-LONGEST_US = 3_600_000_000
+MAX_LATENCY_US = 3_600_000_000
 """Longer latencies are recorded as this many microseconds."""
-DIGITS = 2
+SIGNIFICANT_DIGITS = 2
 """Significant digits that the histograms keep."""
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
 MAX_ATTEMPTS = 100_000
@@ -54,13 +54,13 @@
 @attrs.define
 class _Series:
     latency: HdrHistogram = attrs.field(
-        factory=lambda: HdrHistogram(1, LONGEST_US, DIGITS)
+        factory=lambda: HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
     )
     coverage: HdrHistogram = attrs.field(
-        factory=lambda: HdrHistogram(1, 100, DIGITS)
+        factory=lambda: HdrHistogram(1, 100, SIGNIFICANT_DIGITS)
     )
     attempts: HdrHistogram = attrs.field(
-        factory=lambda: HdrHistogram(1, MAX_ATTEMPTS, DIGITS)
+        factory=lambda: HdrHistogram(1, MAX_ATTEMPTS, SIGNIFICANT_DIGITS)
     )
 
 
@@ -77,14 +77,14 @@
         self._codes: Counter[tuple[str, int]] = Counter()
         self._totals: Counter[str] = Counter()
 
-    def note_reply(self, reply: Reply) -> None:
+    def record_reply(self, reply: Reply) -> None:
         """Records one answer."""
         with self._lock:
             key = self._key(SeriesKey(reply.caller, reply.request_class))
             series = self._series.setdefault(key, _Series())
             answer = reply.answer
             latency = max(1, int(reply.elapsed_s * MICROSECONDS))
-            series.latency.record_value(min(latency, LONGEST_US))
+            series.latency.record_value(min(latency, MAX_LATENCY_US))
             if answer.coverage.shards:
                 share = len(answer.coverage.reflected) / answer.coverage.shards
                 series.coverage.record_value(int(100 * share))
--- a/greengagemoor/node.py
+++ b/greengagemoor/node.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from greengagemoor.claims import Claims, ClaimToken, OutcomeToken
+from greengagemoor.claims import ClaimToken, ClaimTracker, OutcomeToken
 from greengagemoor.codes import Code
 from greengagemoor.control import messages as control
 from greengagemoor.control.client import ControlClient, Done, OperationRequest
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class CloseEntry:
+class RejectNewRequests:
     """Makes the entry reject new requests and finish the running ones."""
 
 
@@ -68,7 +68,7 @@
         self.control = control_decider
         self.client = ControlClient(control_targets, rng)
         self._configured_targets = set(control_targets)
-        self._claims = Claims()
+        self._claims = ClaimTracker()
         self._observed_addresses: dict[str, str] = {}
         self._out: list = []
         self._now = 0.0
@@ -169,7 +169,7 @@
             inboxes.for_payload(msg.payload).append(msg)
         elif isinstance(msg, StartUp):
             self._next_read_at = self._now
-        elif isinstance(msg, CloseEntry):
+        elif isinstance(msg, RejectNewRequests):
             if self.query is not None:
                 self.query.close()
         elif isinstance(msg, OperationRequest):
@@ -191,9 +191,11 @@
             inboxes.membership.append(msg)
         elif isinstance(msg, query.ClaimWanted):
             me = self.membership.state.me
-            inboxes.client.append(self._claims.ask(me, self._now, msg))
+            inboxes.client.append(
+                self._claims.claim_operation(me, self._now, msg)
+            )
         elif isinstance(msg, query.OutcomeKnown):
-            ask = self._claims.record(self._now, msg)
+            ask = self._claims.outcome_operation(self._now, msg)
             if ask is not None:
                 inboxes.client.append(ask)
         elif isinstance(msg, Done):
@@ -236,8 +238,8 @@
         if isinstance(msg.token, _ReadToken):
             self._handle_read(msg, inboxes)
         elif isinstance(msg.token, ClaimToken):
-            inboxes.query.append(self._claims.decided(msg))
-            ask = self._claims.give_back(self._now, msg)
+            inboxes.query.append(self._claims.to_claim_decided(msg))
+            ask = self._claims.release_operation(self._now, msg)
             if ask is not None:
                 inboxes.client.append(ask)
         elif not isinstance(msg.token, OutcomeToken):
--- a/greengagemoor/platform/program.py
+++ b/greengagemoor/platform/program.py
@@ -25,7 +25,7 @@
 async def _serve(
     role: str, cfg: ServingSettings, listener: socket.socket | None
 ) -> None:
-    lines = log.set_up_plain(cfg.instance)
+    lines = log.configure_line_writer(cfg.instance)
     log.event("start", role=role, data_centre=cfg.data_centre)
     if role == "entry":
         from greengagemoor.serving.entry import EntryApp
--- a/greengagemoor/serving/control.py
+++ b/greengagemoor/serving/control.py
@@ -273,7 +273,7 @@
             "link_bytes_sent_total": self._links.sent_bytes,
             "bad_calls_total": self._bad_calls.total,
             "tick_failures_total": self._ticker.failures,
-            "log_lines_lost_total": log.lines_lost(),
+            "log_lines_lost_total": log.dropped_lines(),
         }
 
     def _restart_member(self) -> None:
--- a/greengagemoor/serving/entry.py
+++ b/greengagemoor/serving/entry.py
@@ -313,7 +313,7 @@
             "searcher_connections_opened_total": self._pool.opened_count,
             "caller_connections": len(self._callers.conns),
             "tick_failures_total": self._ticker.failures,
-            "log_lines_lost_total": log.lines_lost(),
+            "log_lines_lost_total": log.dropped_lines(),
         }
 
     def _sweep(self) -> None:
--- a/greengagemoor/shell/http_server.py
+++ b/greengagemoor/shell/http_server.py
@@ -29,9 +29,10 @@
 class HttpServer:
     """Serves callers, backend servers and operators.
 
-    cheroot needs a thread for each waiting request. ``Application.gate``
-    admits fewer requests than there are threads, so that rejections, address
-    lookups and health checks are still served during a load spike.
+    cheroot needs a thread for each waiting request.
+    ``Application.request_slots`` admits fewer requests than there are threads,
+    so that rejections, address lookups and health checks are still served
+    during a load spike.
     """
 
     def __init__(self, cfg: Settings, app: Application):
--- a/greengagemoor/shell/loop.py
+++ b/greengagemoor/shell/loop.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from greengagemoor.events import Events
+    from greengagemoor.events import EventListeners
     from greengagemoor.node import Node
     from greengagemoor.shell.clock import Clock
 
@@ -22,7 +22,7 @@
 class TickLoop:
     """Passes messages to the deciders and handles their output."""
 
-    def __init__(self, node: Node, clock: Clock, bus: Events):
+    def __init__(self, node: Node, clock: Clock, bus: EventListeners):
         self._node = node
         self._clock = clock
         self._events = bus
--- a/greengagemoor/shell/notes.py
+++ b/greengagemoor/shell/notes.py
@@ -11,12 +11,12 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from greengagemoor.events import Events
+    from greengagemoor.events import EventListeners
 
     AddHandler = Callable[[type, Callable[[object], None]], None]
 
 
-def connect(add: AddHandler, bus: Events) -> None:
+def connect(add: AddHandler, bus: EventListeners) -> None:
     """Adds handlers that log these messages and notify the listeners.
 
     Args:
--- a/greengagemoor/shell/routes.py
+++ b/greengagemoor/shell/routes.py
@@ -188,8 +188,8 @@
 @route("POST", "/v1/services/([^/]+)/requests")
 def _request(req: HttpRequest) -> Response:
     body = json_conversion.decode_json(req.body, RequestBody)
-    if not req.app.gate.acquire(blocking=False):
-        req.app.note_gate_full()
+    if not req.app.request_slots.acquire(blocking=False):
+        req.app.record_gate_refusal()
         fields = {
             "request_id": body.request_id,
             "detail": "entry has too many waiting requests",
@@ -198,7 +198,7 @@
     try:
         return _run_request(req, body)
     finally:
-        req.app.gate.release()
+        req.app.request_slots.release()
 
 
 def _run_request(req: HttpRequest, body: RequestBody) -> Response:
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -280,7 +280,7 @@
     parser.add_argument("--seeds", default="1-3", help="FIRST-LAST")
     parser.add_argument("--seconds", type=float, default=20.0)
     args = parser.parse_args()
-    log.set_up("ERROR", "soak")
+    log.configure_loguru("ERROR", "soak")
     first, _, last = args.seeds.partition("-")
     seeds = range(int(first), int(last or first) + 1)
     broken = [seed for seed in seeds if run_seed(seed, args.seconds)]
--- a/soak/builds.py
+++ b/soak/builds.py
@@ -240,7 +240,7 @@
     args = parser.parse_args()
     builds = {"old": args.old.resolve(), "new": args.new.resolve()}
     _check_builds(builds)
-    log.set_up("ERROR", "soak")
+    log.configure_loguru("ERROR", "soak")
     first, _, last = args.seeds.partition("-")
     seeds = range(int(first), int(last or first) + 1)
     passed = [
--- a/tests/test_cmd/test_programs.py
+++ b/tests/test_cmd/test_programs.py
@@ -8,7 +8,7 @@
 import typer
 from typer.testing import CliRunner
 
-from greengagemoor.cmd import calls, ctl, daemon
+from greengagemoor.cmd import ctl, daemon, http_calls
 
 RUNNER = CliRunner()
 UNREACHABLE_ADDRESS = "127.0.0.1:1"
@@ -85,9 +85,9 @@
 
     def call(at, method, path, body=None):
         made.append((at, method, path, body))
-        return calls.Reply(200, {"requests": []}, "")
+        return http_calls.Reply(200, {"requests": []}, "")
 
-    monkeypatch.setattr(calls, "call", call)
+    monkeypatch.setattr(http_calls, "call_instance", call)
     return made
 
 
--- a/tests/test_logreading/test_stories.py
+++ b/tests/test_log_analysis/test_explain_and_timeline.py
@@ -7,9 +7,9 @@
 from typer.testing import CliRunner
 
 from greengagemoor.cmd.ctl import app
-from greengagemoor.logreading.explain import explain
-from greengagemoor.logreading.lines import merge, read_lines
-from greengagemoor.logreading.timeline import disagreements, timeline
+from greengagemoor.log_analysis.explain import explain
+from greengagemoor.log_analysis.lines import merge, read_lines
+from greengagemoor.log_analysis.timeline import disagreements, timeline
 
 ROOT = Path(__file__).parent.parent / "roots" / "logs"
 LOGS = sorted(ROOT.glob("*.log"))
@@ -28,7 +28,7 @@
     def test_quoted_values_and_prefixes(self):
         text = '  3.5 front-1 time=5.25 level=INFO event=x reason="a \\"b\\" c"'
         (line,) = read_lines([text])
-        assert line.at == 5.25
+        assert line.time == 5.25
         assert line.source == "front-1"
         assert line.get("reason") == 'a "b" c'
 
--- a/tests/test_logreading/test_losses.py
+++ b/tests/test_log_analysis/test_losses.py
@@ -6,8 +6,8 @@
 from typer.testing import CliRunner
 
 from greengagemoor.cmd.ctl import app
-from greengagemoor.logreading.lines import read_lines
-from greengagemoor.logreading.losses import find_losses
+from greengagemoor.log_analysis.lines import read_lines
+from greengagemoor.log_analysis.losses import find_losses
 
 
 def lines(*texts):
--- a/tests/test_logfields.py
+++ b/tests/test_log_fields.py
@@ -7,17 +7,19 @@
 from pathlib import Path
 
 import greengagemoor
-from greengagemoor.logfields import EVENTS, FIELDS
+from greengagemoor.log_fields import EVENTS, FIELDS
 
 PACKAGE = Path(greengagemoor.__file__).parent
-EVENT_LOOP = ("aio", "feed", "forward", "platform", "serving")
+EVENT_LOOP_PACKAGES = ("aio", "feed", "forward", "platform", "serving")
 SHARED = (PACKAGE / "shell" / "group_notes.py",)
 PAGE = (PACKAGE.parent / "docs" / "OPERATIONS.md").read_text()
 
 
 def logging_calls():
     """Yields (file, event, fields) of each logging call."""
-    files = (p for name in EVENT_LOOP for p in (PACKAGE / name).glob("*.py"))
+    files = (
+        p for name in EVENT_LOOP_PACKAGES for p in (PACKAGE / name).glob("*.py")
+    )
     for path in chain(files, SHARED):
         for node in ast.walk(ast.parse(path.read_text())):
             if (
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -24,7 +24,7 @@
         """
         metrics = Metrics()
         for number in range(MAX_SERIES * 3):
-            metrics.note_reply(reply(f"caller-{number}"))
+            metrics.record_reply(reply(f"caller-{number}"))
         rows = metrics.rows()
         assert len({(r.caller, r.request_class) for r in rows}) == (
             MAX_SERIES + 1
@@ -34,7 +34,7 @@
 
     def test_text_format_escapes_names(self):
         metrics = Metrics()
-        metrics.note_reply(reply('a"b\n'))
+        metrics.record_reply(reply('a"b\n'))
         assert 'caller="a\\"b\\n"' in metrics.text({"up": 1})
 
 
