--- a/bench/model.py
+++ b/bench/model.py
@@ -284,7 +284,7 @@
 
     def _delay_s(self, index: int, searcher: SimulatedSearcher) -> float:
         same_data_centre = (
-            searcher.data_centre == self.entries[index].state.home
+            searcher.data_centre == self.entries[index].state.data_centre
         )
         return SAME_DATA_CENTRE_DELAY_S if same_data_centre else self.kind.far_s
 
--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -25,8 +25,8 @@
     ),
     Mutant(
         "one snapshot",
-        "query/endings.py",
-        "    query.reflected.clear()\n",
+        "query/completing.py",
+        "    query.results.clear()\n",
         "",
         (QUERY + "test_snapshots.py::TestOneSnapshot",),
     ),
@@ -54,7 +54,8 @@
     Mutant(
         "own answer: rivals",
         "query/requests.py",
-        "owner = None if query.cls.share_answers else request.caller",
+        "owner = None if query.request_class_rules.share_answers else "
+        "request.caller",
         "owner = None",
         (QUERY + "test_outcomes.py::TestOwnAnswer",),
     ),
@@ -75,7 +76,7 @@
     ),
     Mutant(
         "given up at once",
-        "query/endings.py",
+        "query/completing.py",
         "    elif not _has_pending_attempt(query) and not _has_holder(query):",
         "    elif False:",
         (QUERY + "test_outcomes.py::TestGivenUp",),
@@ -98,7 +99,7 @@
     ),
     Mutant(
         "spike: fair turns",
-        "query/fairqueue.py",
+        "query/fair_queue.py",
         "        lane.setdefault(query.request.caller, deque()).append(query)",
         '        lane.setdefault("", deque()).append(query)',
         (QUERY + "test_admission.py",),
@@ -112,7 +113,7 @@
     ),
     Mutant(
         "hedges off under overload",
-        "query/placing.py",
+        "query/placement.py",
         "    if not query.service.is_overloaded:\n        _start_hedges",
         "    if True:\n        _start_hedges",
         (QUERY + "test_outcomes.py::TestExtraWork",),
@@ -225,7 +226,7 @@
     ),
     Mutant(
         "at most once: frozen past the claim's end",
-        "query/placing.py",
+        "query/placement.py",
         "    if state.now >= query.send_before:",
         "    if False:",
         (QUERY + "test_claims.py",),
--- a/greengagemoor/claims.py
+++ b/greengagemoor/claims.py
@@ -11,7 +11,7 @@
 from greengagemoor.query.messages import (
     ClaimDecided,
     ClaimVerdict,
-    OutcomeKnown,
+    RecordOutcomeWanted,
 )
 from greengagemoor.util import values
 from greengagemoor.util.request_ids import issue_time
@@ -83,7 +83,7 @@
         )
 
     def outcome_operation(
-        self, now: float, msg: OutcomeKnown
+        self, now: float, msg: RecordOutcomeWanted
     ) -> OperationRequest | None:
         """Returns the operation that records an outcome.
 
@@ -132,7 +132,7 @@
         if not done.possibly_accepted:
             self._claim_ids.pop(token.token, None)
             return None
-        released = OutcomeKnown(
+        released = RecordOutcomeWanted(
             token=token.token,
             caller=token.caller,
             request_id=token.request_id,
--- a/greengagemoor/document.py
+++ b/greengagemoor/document.py
@@ -174,7 +174,7 @@
         DocumentError: lists every fault with its JSON path.
     """
     # Importing these modules fills the registries used for validation.
-    from greengagemoor.query import choosing, completion  # noqa: F401
+    from greengagemoor.query import choosers, completion  # noqa: F401
 
     try:
         return json_conversion.decode_json(text, Document)
--- a/greengagemoor/membership/announcements.py
+++ b/greengagemoor/membership/announcements.py
@@ -16,7 +16,7 @@
     from greengagemoor.backends import BackendServer
     from greengagemoor.membership.messages import Announce
     from greengagemoor.membership.state import State
-    from greengagemoor.query.messages import DrainSeen
+    from greengagemoor.query.messages import DrainReported
 
 LOAD_STEPS = 4
 
@@ -120,7 +120,7 @@
     state.out.append(AnnounceReply(msg.token, code, *order, detail))
 
 
-def take_drain(state: State, msg: DrainSeen) -> None:
+def take_drain(state: State, msg: DrainReported) -> None:
     """Records a drain that a server reported in an answer."""
     row = state.table.rows.get(server_key(msg.service, msg.name))
     if not isinstance(row, ServerRow):
--- a/greengagemoor/membership/decider.py
+++ b/greengagemoor/membership/decider.py
@@ -21,7 +21,7 @@
 from greengagemoor.membership import messages as m
 from greengagemoor.membership.rows import InstanceState
 from greengagemoor.membership.state import State, Timing
-from greengagemoor.query.messages import DrainSeen
+from greengagemoor.query.messages import DrainReported
 
 if TYPE_CHECKING:
     import random
@@ -146,5 +146,5 @@
     m.CurrentRead: documents.take_read,
     VersionConfirmed: documents.take_confirmed,
     DocumentAccepted: documents.take_accepted,
-    DrainSeen: announcements.take_drain,
+    DrainReported: announcements.take_drain,
 }
--- a/greengagemoor/node.py
+++ b/greengagemoor/node.py
@@ -194,7 +194,7 @@
             inboxes.client.append(
                 self._claims.claim_operation(me, self._now, msg)
             )
-        elif isinstance(msg, query.OutcomeKnown):
+        elif isinstance(msg, query.RecordOutcomeWanted):
             ask = self._claims.outcome_operation(self._now, msg)
             if ask is not None:
                 inboxes.client.append(ask)
@@ -286,7 +286,7 @@
     query.ControlReady,
 )
 _TO_MEMBERSHIP = (
-    query.DrainSeen,
+    query.DrainReported,
     control.DocumentAccepted,
     control.VersionConfirmed,
 )
--- a/greengagemoor/query/admission.py
+++ b/greengagemoor/query/admission.py
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class Refusal:
+class Rejection:
     """Why a request is rejected at once, and after how long to retry."""
 
     code: Code
@@ -32,18 +32,18 @@
 def expected_wait(service: ServiceRow, caller: str, priority: int) -> float:
     """Returns the seconds a new query of this caller would wait.
 
-    By Little's law, ``running`` queries of ``query_time`` seconds each
-    complete at a rate of running / query_time per second.
+    By Little's law, ``running`` queries of ``mean_query_time_s`` seconds each
+    complete at a rate of running / mean_query_time_s per second.
     """
     if not service.running:
         return 0.0
-    ahead = service.queue.ahead_of(caller, priority)
-    return ahead * service.query_time / service.running
+    ahead = service.queue.count_ahead(caller, priority)
+    return ahead * service.mean_query_time_s / service.running
 
 
 def check_admission(
     service: ServiceRow, cls: RequestClass, caller: str, remaining: float
-) -> Refusal | None:
+) -> Rejection | None:
     """Returns a refusal if the wait is too long or the queue is full.
 
     Without the deadline check, the queue fills with queries that will be late:
@@ -58,14 +58,16 @@
     wait = expected_wait(service, caller, cls.priority)
     needed = (
         WAIT_SAFETY_FACTOR * wait
-        + QUERY_TIME_SAFETY_FACTOR * service.query_time
+        + QUERY_TIME_SAFETY_FACTOR * service.mean_query_time_s
     )
     if cls.refuse_late and needed > remaining:
-        return Refusal(Code.NOT_RUN_DEADLINE, wait)
+        return Rejection(Code.NOT_RUN_DEADLINE, wait)
     if len(service.queue) >= cls.max_queue and not _can_displace(
         service, cls, caller
     ):
-        return Refusal(Code.NOT_RUN_OVERLOAD, max(wait, service.query_time))
+        return Rejection(
+            Code.NOT_RUN_OVERLOAD, max(wait, service.mean_query_time_s)
+        )
     return None
 
 
@@ -75,7 +77,7 @@
         victim is not None
         and cls.max_queue > 0
         and (
-            victim.cls.priority < cls.priority
+            victim.request_class_rules.priority < cls.priority
             or victim.request.caller != caller
         )
     )
--- a/greengagemoor/query/answers.py
+++ b/greengagemoor/query/answers.py
@@ -58,7 +58,7 @@
 def _results(query: Query) -> tuple[ShardResult, ...]:
     return tuple(
         ShardResult(shard, value)
-        for shard, value in sorted(query.reflected.items())
+        for shard, value in sorted(query.results.items())
     )
 
 
@@ -66,11 +66,11 @@
     missing = tuple(
         MissingShard(shard, _reason(query, shard))
         for shard in query.needed
-        if shard not in query.reflected
+        if shard not in query.results
     )
     return Coverage(
         shards=len(query.needed),
-        reflected=tuple(sorted(query.reflected)),
+        reflected=tuple(sorted(query.results)),
         missing=missing,
     )
 
@@ -86,14 +86,14 @@
     snapshot = query.service.snapshots.get(query.snapshot)
     if snapshot is None or shard not in snapshot.holders:
         return NO_LIVE_REPLICA
-    return query.reasons.get(shard, NO_ROOM)
+    return query.missing_reasons.get(shard, NO_ROOM)
 
 
 def _code(query: Query) -> Code:
-    if query.needed and len(query.reflected) == len(query.needed):
+    if query.needed and len(query.results) == len(query.needed):
         return Code.WHOLE
-    if query.reflected:
-        enough = query.coverage >= query.cls.least_coverage
+    if query.results:
+        enough = query.coverage >= query.request_class_rules.least_coverage
         return Code.PARTIAL if enough else Code.BELOW_COVERAGE
     if query.may_have_run or any(True for attempt in query.attempts.values()):
         return Code.UNKNOWN
--- a/greengagemoor/query/attempts.py
+++ b/greengagemoor/query/attempts.py
@@ -58,11 +58,13 @@
     query: Query, searcher: Searcher, shards: list[int], now: float
 ) -> None:
     query.attempts_made += 1
-    query.tries.update(shards)
+    query.attempt_counts.update(shards)
     for shard in shards:
-        query.tried.setdefault(shard, set()).add(searcher.info.name)
+        query.tried_searchers.setdefault(shard, set()).add(searcher.info.name)
     searcher.in_flight += 1
-    searcher.connections = max(searcher.connections, searcher.in_flight)
+    searcher.peak_connections = max(
+        searcher.peak_connections, searcher.in_flight
+    )
     searcher.last_used = now
 
 
@@ -102,7 +104,9 @@
     has recovered; such an attempt is hedged early, after the median latency.
     """
     window = attempt.query.service.latency
-    late_after = window.quantile(attempt.query.cls.hedge_quantile)
+    late_after = window.quantile(
+        attempt.query.request_class_rules.hedge_quantile
+    )
     if late_after is None:
         return DEFAULT_HEDGE_DELAY_S
     median = window.quantile(0.5)
--- a/greengagemoor/query/choosing.py
+++ b/greengagemoor/query/choosers.py
@@ -36,22 +36,23 @@
 
 
 @attrs.frozen
-class Choice:
+class PlacementInput:
     """The input of a chooser.
 
     Attributes:
         now: seconds on the decider's clock.
-        home: data centre of this entry instance.
-        avoid: for each shard, names of searchers already tried for it.
+        data_centre: data centre of this entry instance.
+        tried_searchers: for each shard, names of searchers already tried for
+            it.
         paused: until when a searcher that refused this query is not asked.
     """
 
     service: ServiceRow
     snapshot: Snapshot
     now: float
-    home: str
+    data_centre: str
     rng: random.Random
-    avoid: dict[int, set[str]] = attrs.field(factory=dict)
+    tried_searchers: dict[int, set[str]] = attrs.field(factory=dict)
     paused: dict[str, float] = attrs.field(factory=dict)
 
     def has_room(self, searcher: Searcher) -> bool:
@@ -62,7 +63,7 @@
 
 @choosers.register("random")
 def choose_random(
-    choice: Choice, shards: Iterable[int]
+    choice: PlacementInput, shards: Iterable[int]
 ) -> dict[str, list[int]]:
     """Places each shard on a random holder; a baseline for comparison."""
     plan: dict[str, list[int]] = {}
@@ -76,7 +77,7 @@
 
 @choosers.register("least_cost")
 def choose_least_cost(
-    choice: Choice, shards: Iterable[int]
+    choice: PlacementInput, shards: Iterable[int]
 ) -> dict[str, list[int]]:
     """Places shards on few searchers with room and the least expected cost.
 
@@ -89,7 +90,9 @@
         holders = choice.snapshot.holders.get(shard)
         if not holders:
             continue
-        name = _planned_holder(plan, holders, choice.avoid.get(shard, ()))
+        name = _planned_holder(
+            plan, holders, choice.tried_searchers.get(shard, ())
+        )
         if name is None:
             name = _cheapest(choice, holders, shard, costs)
         if name is not None:
@@ -107,17 +110,19 @@
 
 
 def _cheapest(
-    choice: Choice,
+    choice: PlacementInput,
     holders: dict[str, Searcher],
     shard: int,
     costs: dict[str, float],
 ) -> str | None:
-    candidates = _candidates(choice, holders, choice.avoid.get(shard, ()))
+    candidates = _candidates(
+        choice, holders, choice.tried_searchers.get(shard, ())
+    )
     if len(candidates) > MAX_COMPARED_HOLDERS:
         candidates = _sample(choice, candidates)
     for searcher in candidates:
         if searcher.info.name not in costs:
-            costs[searcher.info.name] = cost_of(searcher, choice)
+            costs[searcher.info.name] = expected_cost(searcher, choice)
     with_room = [s for s in candidates if choice.has_room(s)]
     if not with_room:
         return None
@@ -128,14 +133,16 @@
     return best.info.name
 
 
-def _sample(choice: Choice, candidates: list[Searcher]) -> list[Searcher]:
+def _sample(
+    choice: PlacementInput, candidates: list[Searcher]
+) -> list[Searcher]:
     """Samples two candidates, from those with room if there are two."""
     with_room = [s for s in candidates if choice.has_room(s)]
     return choice.rng.sample(with_room if len(with_room) > 1 else candidates, 2)
 
 
 def _candidates(
-    choice: Choice, holders: dict[str, Searcher], avoid: Collection[str]
+    choice: PlacementInput, holders: dict[str, Searcher], avoid: Collection[str]
 ) -> list[Searcher]:
     """Excludes tried and ejected holders unless that would exclude all.
 
@@ -148,13 +155,13 @@
     return healthy or eligible
 
 
-def cost_of(searcher: Searcher, choice: Choice) -> float:
+def expected_cost(searcher: Searcher, choice: PlacementInput) -> float:
     """Returns the expected seconds of one more attempt on the searcher."""
     base = _decayed_latency(searcher, choice)
     cost = base * (1 + searcher.in_flight / limits.max_in_flight(searcher))
-    if searcher.in_flight >= searcher.connections:
+    if searcher.in_flight >= searcher.peak_connections:
         cost += searcher.info.connect_cost_s
-    if searcher.info.data_centre != choice.home:
+    if searcher.info.data_centre != choice.data_centre:
         cost += REMOTE_PENALTY_S
     age = choice.now - searcher.ready_since
     if age < limits.SLOW_START_S:
@@ -163,7 +170,7 @@
     return cost * (1 + 0.02 * choice.rng.random())
 
 
-def _decayed_latency(searcher: Searcher, choice: Choice) -> float:
+def _decayed_latency(searcher: Searcher, choice: PlacementInput) -> float:
     """Returns the searcher's latency, decayed to the median while it is unused.
 
     A slow searcher gets no attempts and so no new sample; without the decay it
--- a/greengagemoor/query/endings.py
+++ b/greengagemoor/query/completing.py
@@ -9,11 +9,11 @@
 from greengagemoor.query.messages import (
     Answer,
     ClaimVerdict,
-    OutcomeKnown,
+    RecordOutcomeWanted,
     Reply,
     Request,
 )
-from greengagemoor.query.snapshots import pick_snapshot, pin
+from greengagemoor.query.snapshots import pick_snapshot, pin_snapshot
 from greengagemoor.query.tables import Phase, Query, TimerKind, Waiter
 from greengagemoor.registry import completions
 from greengagemoor.util import json_conversion
@@ -42,7 +42,7 @@
 }
 
 
-def end_unclaimed(state: State, query: Query, msg: ClaimDecided) -> None:
+def answer_unclaimed(state: State, query: Query, msg: ClaimDecided) -> None:
     """Answers a request whose claim was not granted.
 
     A resend of a completed request gets the recorded answer unchanged, with
@@ -61,9 +61,11 @@
 
 def reject_if_late(state: State, query: Query) -> bool:
     """Rejects a queued query that is too late or has no waiter left."""
-    needed = admission.QUERY_TIME_SAFETY_FACTOR * query.service.query_time
+    needed = (
+        admission.QUERY_TIME_SAFETY_FACTOR * query.service.mean_query_time_s
+    )
     late = (
-        query.cls.refuse_late
+        query.request_class_rules.refuse_late
         and query.service.running > 0
         and state.now + needed > query.deadline
     )
@@ -76,7 +78,7 @@
 def reject_queued(state: State, query: Query, code: Code) -> None:
     """Rejects a query that has not started; answers every waiter ``code``."""
     wait = admission.expected_wait(
-        query.service, query.request.caller, query.cls.priority
+        query.service, query.request.caller, query.request_class_rules.priority
     )
     for waiter in list(query.waiters.values()):
         request = _request_of(query, waiter)
@@ -94,7 +96,7 @@
     return Request(
         token=waiter.token,
         caller=waiter.caller,
-        request_class=query.cls.name,
+        request_class=query.request_class_rules.name,
         request_id=waiter.request_id,
         service=query.request.service,
     )
@@ -104,12 +106,12 @@
     """Finishes a query that is complete, cut, or can't get further results."""
     if query.phase is not Phase.RUNNING:
         return
-    if len(query.reflected) == len(query.needed):
+    if len(query.results) == len(query.needed):
         finish(state, query)
     elif not _has_pending_attempt(query) and not _has_holder(query):
         if not _restart(state, query):
             finish(state, query)
-    elif query.reflected:
+    elif query.results:
         _finish_at_cut(state, query)
 
 
@@ -125,7 +127,7 @@
 
 
 def _finish_at_cut(state: State, query: Query) -> None:
-    cut = completions.get(query.cls.completion)(query)
+    cut = completions.get(query.request_class_rules.completion)(query)
     if state.now >= cut:
         finish(state, query)
     elif cut < query.deadline:
@@ -141,9 +143,11 @@
     if query.is_claimed or query.restarts >= MAX_RESTARTS:
         return False
     newer = pick_snapshot(
-        query.service, query.cls.least_coverage, query.snapshot + 1
+        query.service,
+        query.request_class_rules.least_coverage,
+        query.snapshot + 1,
     )
-    has_time = query.deadline - state.now > query.service.query_time
+    has_time = query.deadline - state.now > query.service.mean_query_time_s
     if (
         newer is None
         or newer.version <= query.snapshot
@@ -154,11 +158,11 @@
     attempts.cancel_all(state, query)
     query.restarts += 1
     state.counters.restarts += 1
-    pin(query)
-    query.reflected.clear()
-    query.reasons.clear()
-    query.tries.clear()
-    query.tried.clear()
+    pin_snapshot(query)
+    query.results.clear()
+    query.missing_reasons.clear()
+    query.attempt_counts.clear()
+    query.tried_searchers.clear()
     query.unplaced = set(query.needed)
     query.service.unplaced[query.id] = query
     state.mark_dirty(query.service)
@@ -169,7 +173,7 @@
     """Answers every waiter with the results so far and cancels what remains."""
     if query.phase is Phase.DONE:
         return
-    retry_after = query.service.query_time
+    retry_after = query.service.mean_query_time_s
     for waiter in list(query.waiters.values()):
         answer = answers.build_answer(query, waiter.request_id, retry_after)
         _reply(state, query, waiter, answer)
@@ -183,21 +187,25 @@
 
 def _final_answer(query: Query) -> Answer:
     request_id = query.request.request_id
-    return answers.build_answer(query, request_id, query.service.query_time)
+    return answers.build_answer(
+        query, request_id, query.service.mean_query_time_s
+    )
 
 
 def _record_query_time(state: State, query: Query) -> None:
-    if query.phase is Phase.RUNNING and query.reflected:
-        taken = state.now - query.began
+    if query.phase is Phase.RUNNING and query.results:
+        taken = state.now - query.run_started
         service = query.service
-        faster = taken < service.query_time
+        faster = taken < service.mean_query_time_s
         weight = FASTER_QUERY_WEIGHT if faster else QUERY_TIME_WEIGHT
-        service.query_time += weight * (taken - service.query_time)
+        service.mean_query_time_s += weight * (
+            taken - service.mean_query_time_s
+        )
 
 
 def _emit_outcome(state: State, query: Query, answer: Answer) -> None:
     state.out.append(
-        OutcomeKnown(
+        RecordOutcomeWanted(
             token=query.request.token,
             caller=query.request.caller,
             request_id=query.request.request_id,
@@ -214,7 +222,7 @@
     code = Code.NOT_RUN_NO_CONTROL
     answer = Answer(code, msg.request_id, retry_after_s=NO_CONTROL_RETRY_S)
     state.out.append(
-        OutcomeKnown(
+        RecordOutcomeWanted(
             token=msg.token,
             caller=msg.caller,
             request_id=msg.request_id,
@@ -230,13 +238,13 @@
 
 
 def _reply(state: State, query: Query, waiter: Waiter, answer: Answer) -> None:
-    state.tables.by_token.pop(waiter.token, None)
+    state.tables.queries_by_token.pop(waiter.token, None)
     query.waiters.pop(waiter.token, None)
     state.out.append(
         Reply(
             token=waiter.token,
             caller=waiter.caller,
-            request_class=query.cls.name,
+            request_class=query.request_class_rules.name,
             answer=answer,
             elapsed_s=state.now - waiter.started,
         )
@@ -250,15 +258,18 @@
     query.phase = Phase.DONE
     service.queue.remove(query)
     service.unplaced.pop(query.id, None)
-    if query.flight_key and service.flights.get(query.flight_key) is query:
-        del service.flights[query.flight_key]
+    if (
+        query.join_key
+        and service.queries_by_join_key.get(query.join_key) is query
+    ):
+        del service.queries_by_join_key[query.join_key]
     state.tables.queries.pop(query.id, None)
     state.mark_dirty(service)
 
 
 def expire_waiter(state: State, token: int) -> None:
     """Answers a waiter at its deadline with the results so far."""
-    query = state.tables.by_token.get(token)
+    query = state.tables.queries_by_token.get(token)
     if query is None:
         return
     waiter = query.waiters[token]
@@ -266,7 +277,7 @@
         finish(state, query)
         return
     answer = answers.build_answer(
-        query, waiter.request_id, query.service.query_time
+        query, waiter.request_id, query.service.mean_query_time_s
     )
     _reply(state, query, waiter, answer)
 
@@ -276,7 +287,7 @@
 
     A claimed query continues: its outcome must be recorded for a resend.
     """
-    query = state.tables.by_token.pop(token, None)
+    query = state.tables.queries_by_token.pop(token, None)
     if query is None:
         return
     query.waiters.pop(token, None)
--- a/greengagemoor/query/completion.py
+++ b/greengagemoor/query/completion.py
@@ -30,11 +30,11 @@
     class's ``cut_after_s``, or else at a multiple of the service's tail
     latency.
     """
-    if query.coverage < query.cls.least_coverage:
+    if query.coverage < query.request_class_rules.least_coverage:
         return query.deadline
-    if query.cls.cut_after_s > 0:
-        return query.began + query.cls.cut_after_s
+    if query.request_class_rules.cut_after_s > 0:
+        return query.run_started + query.request_class_rules.cut_after_s
     tail = query.service.latency.quantile(TAIL_QUANTILE)
     if tail is None:
         return query.deadline
-    return min(query.deadline, query.began + TAIL_MARGIN * tail)
+    return min(query.deadline, query.run_started + TAIL_MARGIN * tail)
--- a/greengagemoor/query/decider.py
+++ b/greengagemoor/query/decider.py
@@ -6,12 +6,12 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor.query import (  # noqa: F401  (fills the registries)
-    choosing,
+    choosers,
+    completing,
     completion,
-    endings,
     messages,
     outcomes,
-    placing,
+    placement,
     requests,
     servers,
 )
@@ -31,14 +31,14 @@
     and services marked dirty.
     """
 
-    def __init__(self, home: str, rng: random.Random):
+    def __init__(self, data_centre: str, rng: random.Random):
         """Creates a decider without a document or searchers.
 
         Args:
-            home: data centre of this entry instance.
+            data_centre: data centre of this entry instance.
             rng: seeded source for all random choices.
         """
-        self.state = State(home=home, rng=rng)
+        self.state = State(data_centre=data_centre, rng=rng)
 
     def step(self, now: float, msgs: Iterable[object]) -> list:
         """Runs one tick.
@@ -57,7 +57,7 @@
             _HANDLERS[type(msg)](state, msg)
         for kind, key in state.tables.pop_due(state.now):
             _TIMERS[kind](state, key)
-        placing.place_waiting(state)
+        placement.place_waiting(state)
         return state.out
 
     def next_wake(self) -> float | None:
@@ -80,16 +80,16 @@
 
 
 def _handle_claim_decided(state: State, msg: messages.ClaimDecided) -> None:
-    query = state.tables.by_token.get(msg.token)
+    query = state.tables.queries_by_token.get(msg.token)
     if query is None or query.phase is not Phase.CLAIMING:
         # The caller was answered "not run" meanwhile. The ledger must record
         # this, or a resend would be answered that the request is in progress.
-        endings.release_claim(state, msg)
+        completing.release_claim(state, msg)
         return
     if msg.verdict is ClaimVerdict.GRANTED:
         requests.start_claimed(state, query, msg.send_before)
     else:
-        endings.end_unclaimed(state, query, msg)
+        completing.answer_unclaimed(state, query, msg)
 
 
 def _expire_attempt(state: State, attempt_id: int) -> None:
@@ -103,13 +103,13 @@
 def _hedge(state: State, attempt_id: int) -> None:
     attempt = state.tables.attempts.get(attempt_id)
     if attempt is not None:
-        placing.hedge(state, attempt)
+        placement.hedge(state, attempt)
 
 
 def _settle_at_cut(state: State, query_id: int) -> None:
     query = state.tables.queries.get(query_id)
     if query is not None:
-        endings.settle(state, query)
+        completing.settle(state, query)
 
 
 def _dispatch(state: State, name: str) -> None:
@@ -120,7 +120,7 @@
 
 _HANDLERS: dict[type, Callable[[State, object], None]] = {
     messages.Request: requests.handle_request,
-    messages.CallerGone: lambda s, m: endings.remove_waiter(s, m.token),
+    messages.CallerGone: lambda s, m: completing.remove_waiter(s, m.token),
     messages.AttemptAnswer: outcomes.handle_answer,
     messages.AttemptFailed: outcomes.handle_failure,
     messages.ServerChanged: servers.handle_server_changed,
@@ -131,7 +131,7 @@
 }
 
 _TIMERS: dict[TimerKind, Callable[[State, object], None]] = {
-    TimerKind.WAITER: endings.expire_waiter,
+    TimerKind.WAITER: completing.expire_waiter,
     TimerKind.CUT: _settle_at_cut,
     TimerKind.HEDGE: _hedge,
     TimerKind.ATTEMPT: _expire_attempt,
--- a/greengagemoor/query/fairqueue.py
+++ b/greengagemoor/query/fair_queue.py
@@ -27,7 +27,9 @@
 
     def push(self, query: Query) -> None:
         """Adds a query behind those of its caller."""
-        lane = self._lanes.setdefault(query.cls.priority, OrderedDict())
+        lane = self._lanes.setdefault(
+            query.request_class_rules.priority, OrderedDict()
+        )
         lane.setdefault(query.request.caller, deque()).append(query)
         self._size += 1
 
@@ -48,7 +50,7 @@
 
     def remove(self, query: Query) -> None:
         """Removes a query from any position, if it is queued."""
-        lane = self._lanes.get(query.cls.priority, {})
+        lane = self._lanes.get(query.request_class_rules.priority, {})
         waiting = lane.get(query.request.caller)
         if waiting is None or query not in waiting:
             return
@@ -57,7 +59,7 @@
         if not waiting:
             del lane[query.request.caller]
 
-    def ahead_of(self, caller: str, priority: int) -> int:
+    def count_ahead(self, caller: str, priority: int) -> int:
         """Returns how many queries would start before a new one of a caller."""
         higher = sum(
             len(waiting)
--- a/greengagemoor/query/limits.py
+++ b/greengagemoor/query/limits.py
@@ -70,8 +70,8 @@
         idle_latency: seconds that an answer takes on an idle searcher of the
             service.
     """
-    searcher.failures = 0
-    searcher.sheds = 0
+    searcher.consecutive_failures = 0
+    searcher.consecutive_sheds = 0
     searcher.latency += LATENCY_EWMA_WEIGHT * (latency - searcher.latency)
     ceiling = min(searcher.share, searcher.info.slots)
     queued = searcher.in_flight * (
@@ -112,15 +112,19 @@
     if now - searcher.limit_cut_at > searcher.latency:
         searcher.limit = max(1.0, searcher.limit * SHED_LIMIT_FACTOR)
         searcher.limit_cut_at = now
-    searcher.sheds += 1
-    doublings = min(max(0, searcher.sheds - SHEDS_BEFORE_DOUBLING), 16)
+    searcher.consecutive_sheds += 1
+    doublings = min(
+        max(0, searcher.consecutive_sheds - SHEDS_BEFORE_DOUBLING), 16
+    )
     pause = min(BACKOFF_MAX_S, BACKOFF_MIN_S * 2**doublings)
     searcher.backoff_until = now + pause
 
 
 def record_failure(searcher: Searcher, now: float) -> None:
     """Records a failure; several consecutive failures eject the searcher."""
-    searcher.failures += 1
-    if searcher.failures >= EJECT_AFTER_FAILURES:
-        doublings = min(searcher.failures - EJECT_AFTER_FAILURES, 10)
+    searcher.consecutive_failures += 1
+    if searcher.consecutive_failures >= EJECT_AFTER_FAILURES:
+        doublings = min(
+            searcher.consecutive_failures - EJECT_AFTER_FAILURES, 10
+        )
         searcher.ejected_until = now + min(EJECT_MAX_S, 0.5 * 2**doublings)
--- a/greengagemoor/query/messages.py
+++ b/greengagemoor/query/messages.py
@@ -130,7 +130,7 @@
 
 
 @attrs.frozen
-class DrainSeen:
+class DrainReported:
     """A searcher reported in an answer that it drains; to be announced."""
 
     service: str
@@ -172,7 +172,7 @@
 
 
 @attrs.frozen
-class OutcomeKnown:
+class RecordOutcomeWanted:
     """The outcome of a claimed request, to be recorded in the ledger.
 
     Attributes:
--- a/greengagemoor/query/outcomes.py
+++ b/greengagemoor/query/outcomes.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor.backends import ServerState
-from greengagemoor.query import attempts, endings, limits, servers
+from greengagemoor.query import attempts, completing, limits, servers
 from greengagemoor.query.messages import AttemptFailed, Failure
 from greengagemoor.query.tables import Phase
 
@@ -80,7 +80,7 @@
     # Even an answer without results shows that the attempt may have run.
     query.may_have_run = True
     for result in msg.results:
-        query.reflected.setdefault(result.shard, result.value)
+        query.results.setdefault(result.shard, result.value)
     if query.is_claimed:
         _end_claimed(state, query)
         return
@@ -89,12 +89,12 @@
     if missing:
         _retry(state, attempt, missing, ABSENT, free=False)
     _cancel_redundant(state, query)
-    endings.settle(state, query)
+    completing.settle(state, query)
 
 
 def _cancel_redundant(state: State, query: Query) -> None:
     for attempt in list(query.attempts.values()):
-        if all(shard in query.reflected for shard in attempt.shards):
+        if all(shard in query.results for shard in attempt.shards):
             limits.record_overdue(attempt.searcher, state.now - attempt.started)
             attempts.cancel(state, attempt)
 
@@ -112,7 +112,7 @@
         _end_claimed(state, query)
         return
     if query.phase is not Phase.RUNNING or attempt.cancelled:
-        endings.settle(state, query)
+        completing.settle(state, query)
         return
     if attempt.snapshot == query.snapshot:
         _retry(
@@ -122,7 +122,7 @@
             msg.failure.value,
             free=msg.failure.is_not_run,
         )
-    endings.settle(state, query)
+    completing.settle(state, query)
 
 
 def _record_history(query: Query, failure: Failure) -> None:
@@ -145,7 +145,7 @@
     elif failure is Failure.SHED:
         limits.record_shed(searcher, state.now)
         wait = min(msg.retry_after_s, limits.BACKOFF_MAX_S)
-        attempt.query.paused[searcher.info.name] = state.now + wait
+        attempt.query.paused_until[searcher.info.name] = state.now + wait
     elif failure is Failure.VERSION_GONE:
         servers.remove_version(state, searcher, attempt.snapshot)
     elif failure is Failure.TIMEOUT:
@@ -175,10 +175,10 @@
         if not other.cancelled
         for shard in other.shards
     }
-    wanted = [s for s in shards if s not in query.reflected and s not in due]
-    query.reasons.update(dict.fromkeys(wanted, reason))
+    wanted = [s for s in shards if s not in query.results and s not in due]
+    query.missing_reasons.update(dict.fromkeys(wanted, reason))
     if free:
-        query.refusals.update(wanted)
+        query.refusal_counts.update(wanted)
     retryable = [s for s in wanted if _tries_left(query, s)]
     if not retryable or not (
         free or _spend_retry_budget(query, len(retryable))
@@ -191,22 +191,24 @@
 
 def _tries_left(query: Query, shard: int) -> bool:
     """Whether a shard may be asked again; refusals have their own limit."""
-    refusals = query.refusals[shard]
-    charged = query.tries[shard] - refusals
-    limit = query.cls.max_attempts
-    return charged < limit and refusals <= query.cls.max_refusals
+    refusals = query.refusal_counts[shard]
+    charged = query.attempt_counts[shard] - refusals
+    limit = query.request_class_rules.max_attempts
+    return (
+        charged < limit and refusals <= query.request_class_rules.max_refusals
+    )
 
 
 def _spend_retry_budget(query: Query, shards: int) -> bool:
     service = query.service
     return not service.is_overloaded and (
-        service.retry_budget(query.cls).spend(shards)
+        service.retry_budget(query.request_class_rules).spend(shards)
     )
 
 
 def _end_claimed(state: State, query: Query) -> None:
     """Finishes a claimed query after its only attempt; records the outcome."""
     if query.phase is Phase.DONE:
-        endings.record_late_outcome(state, query)
+        completing.record_late_outcome(state, query)
     else:
-        endings.finish(state, query)
+        completing.finish(state, query)
--- a/greengagemoor/query/placing.py
+++ b/greengagemoor/query/placement.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from greengagemoor.query import attempts, endings, limits
-from greengagemoor.query.choosing import Choice
+from greengagemoor.query import attempts, completing, limits
+from greengagemoor.query.choosers import PlacementInput
 from greengagemoor.query.tables import (
     AttemptKind,
     Phase,
@@ -63,10 +63,10 @@
 
 
 def _start_query(state: State, query: Query) -> None:
-    if endings.reject_if_late(state, query):
+    if completing.reject_if_late(state, query):
         return
     query.phase = Phase.RUNNING
-    query.began = state.now
+    query.run_started = state.now
     query.service.running += 1
     query.unplaced = set(query.needed)
     query.service.unplaced[query.id] = query
@@ -78,7 +78,7 @@
     if query.phase is not Phase.RUNNING or not query.unplaced:
         return
     if state.now >= query.send_before:
-        endings.finish(state, query)
+        completing.finish(state, query)
         return
     snapshot = query.service.snapshots.get(query.snapshot)
     placeable = [
@@ -88,7 +88,7 @@
     ]
     if not placeable:
         query.service.unplaced.pop(query.id, None)
-        endings.settle(state, query)
+        completing.settle(state, query)
         return
     plan = _plan(state, query, placeable)
     for name, shards in plan.items():
@@ -102,29 +102,31 @@
 def _plan(
     state: State, query: Query, shards: Iterable[int]
 ) -> dict[str, list[int]]:
-    choice = Choice(
+    choice = PlacementInput(
         service=query.service,
         snapshot=query.service.snapshots[query.snapshot],
         now=state.now,
-        home=state.home,
+        data_centre=state.data_centre,
         rng=state.rng,
-        avoid=query.tried,
-        paused=query.paused,
+        tried_searchers=query.tried_searchers,
+        paused=query.paused_until,
     )
-    return choosers.get(query.cls.chooser)(choice, shards)
+    return choosers.get(query.request_class_rules.chooser)(choice, shards)
 
 
 def _start_planned(
     state: State, query: Query, name: str, shards: list[int]
 ) -> None:
     searcher = query.service.searchers[name]
-    is_retry = query.restarts or any(query.tries[shard] for shard in shards)
+    is_retry = query.restarts or any(
+        query.attempt_counts[shard] for shard in shards
+    )
     kind = AttemptKind.RETRY if is_retry else AttemptKind.FIRST
     query.unplaced.difference_update(shards)
     attempts.start(state, query, searcher, shards, kind)
     if not is_retry:
-        query.service.hedge_budget(query.cls).earn(len(shards))
-        query.service.retry_budget(query.cls).earn(len(shards))
+        query.service.hedge_budget(query.request_class_rules).earn(len(shards))
+        query.service.retry_budget(query.request_class_rules).earn(len(shards))
 
 
 def _schedule_after_pause(state: State, query: Query) -> None:
@@ -134,7 +136,7 @@
         until
         for until in (
             *(searcher.backoff_until for searcher in searchers),
-            *query.paused.values(),
+            *query.paused_until.values(),
         )
         if until > state.now
     ]
@@ -142,7 +144,7 @@
         state.tables.set_timer(
             min(pauses) + PAUSE_WAKE_DELAY_S,
             TimerKind.DISPATCH,
-            query.service.rules.name,
+            query.service.settings.name,
         )
 
 
@@ -170,7 +172,7 @@
 
 
 def _start_hedges(state: State, query: Query, late: list[int]) -> None:
-    budget = query.service.hedge_budget(query.cls)
+    budget = query.service.hedge_budget(query.request_class_rules)
     for name, shards in _plan(state, query, late).items():
         if not budget.spend(len(shards)):
             return
@@ -186,7 +188,7 @@
     return [
         shard
         for shard in attempt.shards
-        if shard not in query.reflected
-        and query.tries[shard] < query.cls.max_attempts
-        and set(snapshot.holders.get(shard, ())) - query.tried[shard]
+        if shard not in query.results
+        and query.attempt_counts[shard] < query.request_class_rules.max_attempts
+        and set(snapshot.holders.get(shard, ())) - query.tried_searchers[shard]
     ]
--- a/greengagemoor/query/requests.py
+++ b/greengagemoor/query/requests.py
@@ -5,11 +5,11 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor.codes import Code
-from greengagemoor.query import admission, answers, endings
-from greengagemoor.query.admission import Refusal
-from greengagemoor.query.endings import NO_CONTROL_RETRY_S
+from greengagemoor.query import admission, answers, completing
+from greengagemoor.query.admission import Rejection
+from greengagemoor.query.completing import NO_CONTROL_RETRY_S
 from greengagemoor.query.messages import ClaimWanted, Reply, Request
-from greengagemoor.query.snapshots import pin
+from greengagemoor.query.snapshots import pin_snapshot
 from greengagemoor.query.tables import Phase, Query, TimerKind, Waiter
 from greengagemoor.util.request_ids import issue_time
 
@@ -29,7 +29,7 @@
         _reject(state, request, refusal)
         return
     service = state.tables.services[request.service]
-    cls = service.rules.request_class(request.request_class)
+    cls = service.settings.request_class(request.request_class)
     wanted = request.deadline_s or cls.default_deadline_s
     deadline = state.now + min(wanted, cls.max_deadline_s)
     if request.repeatable and cls.repeatable:
@@ -38,18 +38,20 @@
         _request_claim(state, request, service, cls, deadline)
 
 
-def _check_request(state: State, request: Request) -> Refusal | None:
+def _check_request(state: State, request: Request) -> Rejection | None:
     if state.closing:
         leaving = "this entry instance is leaving"
-        return Refusal(Code.NOT_RUN_LEAVING, LEAVING_RETRY_S, leaving)
+        return Rejection(Code.NOT_RUN_LEAVING, LEAVING_RETRY_S, leaving)
     if state.document is None:
         no_document = "no document received yet"
-        return Refusal(Code.NOT_RUN_NOT_READY, NO_CONTROL_RETRY_S, no_document)
+        return Rejection(
+            Code.NOT_RUN_NOT_READY, NO_CONTROL_RETRY_S, no_document
+        )
     service = state.tables.services.get(request.service)
-    if service is None or not service.rules.request_class(
+    if service is None or not service.settings.request_class(
         request.request_class
     ):
-        return Refusal(
+        return Rejection(
             Code.NOT_RUN_UNKNOWN_SERVICE,
             NO_CONTROL_RETRY_S,
             "no such service or request class",
@@ -57,7 +59,7 @@
     return None
 
 
-def _reject(state: State, request: Request, refusal: Refusal) -> None:
+def _reject(state: State, request: Request, refusal: Rejection) -> None:
     state.counters.refused += 1
     state.out.append(
         Reply(
@@ -80,8 +82,10 @@
     deadline: float,
 ) -> None:
     query = _new_query(state, request, service, cls, deadline)
-    if not pin(query):
-        no_replica = Refusal(Code.NOT_RUN_NO_REPLICA, service.query_time)
+    if not pin_snapshot(query):
+        no_replica = Rejection(
+            Code.NOT_RUN_NO_REPLICA, service.mean_query_time_s
+        )
         _reject(state, request, no_replica)
         return
     if _join(state, query):
@@ -94,8 +98,8 @@
         return
     _make_room(state, query)
     _register(state, query)
-    if query.flight_key:
-        service.flights[query.flight_key] = query
+    if query.join_key:
+        service.queries_by_join_key[query.join_key] = query
 
 
 def _new_query(
@@ -108,7 +112,7 @@
     query = Query(
         id=state.next_query_id(),
         request=request,
-        cls=cls,
+        request_class_rules=cls,
         service=service,
         started=state.now,
         deadline=deadline,
@@ -130,10 +134,10 @@
     The caller is part of the key unless the class shares answers: callers may
     be competitors, and an answer to one must not reach another.
     """
-    if not query.cls.join_equal:
+    if not query.request_class_rules.join_equal:
         return False
     request = query.request
-    owner = None if query.cls.share_answers else request.caller
+    owner = None if query.request_class_rules.share_answers else request.caller
     key = (
         request.request_class,
         query.snapshot,
@@ -141,9 +145,9 @@
         request.key,
         request.body,
     )
-    flight = query.service.flights.get(key)
+    flight = query.service.queries_by_join_key.get(key)
     if flight is None or flight.phase is Phase.DONE:
-        query.flight_key = key
+        query.join_key = key
         return False
     _attach_waiter(state, flight, query.waiters[request.token])
     return True
@@ -152,7 +156,7 @@
 def _attach_waiter(state: State, flight: Query, waiter: Waiter) -> None:
     flight.waiters[waiter.token] = waiter
     flight.deadline = max(flight.deadline, waiter.deadline)
-    state.tables.by_token[waiter.token] = flight
+    state.tables.queries_by_token[waiter.token] = flight
     state.tables.set_timer(waiter.deadline, TimerKind.WAITER, waiter.token)
     state.counters.joined += 1
 
@@ -160,20 +164,20 @@
 def _make_room(state: State, query: Query) -> None:
     """Displaces a query of the caller with the most from a full queue."""
     queue = query.service.queue
-    if len(queue) < query.cls.max_queue:
+    if len(queue) < query.request_class_rules.max_queue:
         return
-    victim = queue.displacement_candidate(query.cls.priority)
+    victim = queue.displacement_candidate(query.request_class_rules.priority)
     if victim is None:
         return
     queue.remove(victim)
-    state.counters.displaced += 1
-    endings.reject_queued(state, victim, Code.NOT_RUN_OVERLOAD)
+    state.counters.displaced_queries += 1
+    completing.reject_queued(state, victim, Code.NOT_RUN_OVERLOAD)
 
 
 def _register(state: State, query: Query) -> None:
     state.tables.queries[query.id] = query
     for waiter in query.waiters.values():
-        state.tables.by_token[waiter.token] = query
+        state.tables.queries_by_token[waiter.token] = query
         state.tables.set_timer(waiter.deadline, TimerKind.WAITER, waiter.token)
     _enqueue(state, query)
 
@@ -195,16 +199,16 @@
     error = _claim_error(request)
     if error:
         code = Code.NOT_RUN_BAD_REQUEST
-        _reject(state, request, Refusal(code, NO_CONTROL_RETRY_S, error))
+        _reject(state, request, Rejection(code, NO_CONTROL_RETRY_S, error))
         return
     if not state.control_ready:
         code = Code.NOT_RUN_NO_CONTROL
-        _reject(state, request, Refusal(code, NO_CONTROL_RETRY_S))
+        _reject(state, request, Rejection(code, NO_CONTROL_RETRY_S))
         return
     query = _new_query(state, request, service, cls, deadline)
     query.phase = Phase.CLAIMING
     state.tables.queries[query.id] = query
-    state.tables.by_token[request.token] = query
+    state.tables.queries_by_token[request.token] = query
     state.tables.set_timer(deadline, TimerKind.WAITER, request.token)
     state.out.append(
         ClaimWanted(request.token, request.caller, request.request_id)
@@ -222,7 +226,7 @@
 def start_claimed(state: State, query: Query, send_before: float) -> None:
     """Queues a query whose claim was granted."""
     query.send_before = send_before
-    if not pin(query):
-        endings.finish(state, query)
+    if not pin_snapshot(query):
+        completing.finish(state, query)
         return
     _enqueue(state, query)
--- a/greengagemoor/query/servers.py
+++ b/greengagemoor/query/servers.py
@@ -8,8 +8,8 @@
 
 from greengagemoor.backends import ServerState
 from greengagemoor.codes import Code
-from greengagemoor.query import endings
-from greengagemoor.query.messages import DrainSeen
+from greengagemoor.query import completing
+from greengagemoor.query.messages import DrainReported
 from greengagemoor.query.snapshots import add_holder, remove_holder
 from greengagemoor.query.tables import Searcher, ServiceRow
 
@@ -48,8 +48,8 @@
         info=info,
         share=share,
         ready_since=state.now,
-        adaptive=service.rules.adaptive_limit,
-        limit=_initial_limit(service.rules, info, share),
+        adaptive=service.settings.adaptive_limit,
+        limit=_initial_limit(service.settings, info, share),
     )
     service.searchers[info.name] = searcher
     return searcher
@@ -94,7 +94,7 @@
         state, searcher, attrs.evolve(searcher.info, state=ServerState.DRAINING)
     )
     state.out.append(
-        DrainSeen(
+        DrainReported(
             searcher.info.service, searcher.info.name, searcher.info.incarnation
         )
     )
@@ -140,18 +140,18 @@
         row = state.tables.services.get(name)
         if row is None:
             state.tables.services[name] = ServiceRow(service)
-        elif row.rules != service:
+        elif row.settings != service:
             _change_rules(row, service)
 
 
 def _change_rules(row: ServiceRow, rules: Service) -> None:
-    row.rules = rules
-    row.hedges.clear()
-    row.retries.clear()
+    row.settings = rules
+    row.hedge_budgets.clear()
+    row.retry_budgets.clear()
     for searcher in row.searchers.values():
         searcher.adaptive = rules.adaptive_limit
 
 
 def _remove_service(state: State, row: ServiceRow) -> None:
     while (query := row.queue.pop()) is not None:
-        endings.reject_queued(state, query, Code.NOT_RUN_UNKNOWN_SERVICE)
+        completing.reject_queued(state, query, Code.NOT_RUN_UNKNOWN_SERVICE)
--- a/greengagemoor/query/snapshots.py
+++ b/greengagemoor/query/snapshots.py
@@ -21,7 +21,7 @@
         )
         # The shard count is recorded for a searcher in any state: a shard whose
         # last holder drains must still be counted as missing.
-        snapshot.counts[held.shard_count] += 1
+        snapshot.shard_counts[held.shard_count] += 1
         for shard in held.shards if ready else ():
             holders = snapshot.holders.setdefault(shard, {})
             holders[searcher.info.name] = searcher
@@ -33,11 +33,11 @@
         snapshot = service.snapshots.get(held.version)
         if snapshot is None:
             continue
-        snapshot.counts[held.shard_count] -= 1
-        if snapshot.counts[held.shard_count] <= 0:
-            del snapshot.counts[held.shard_count]
+        snapshot.shard_counts[held.shard_count] -= 1
+        if snapshot.shard_counts[held.shard_count] <= 0:
+            del snapshot.shard_counts[held.shard_count]
         _remove_shards(snapshot, held.shards, searcher.info.name)
-        if not snapshot.counts:
+        if not snapshot.shard_counts:
             del service.snapshots[held.version]
 
 
@@ -83,10 +83,10 @@
     return (int.from_bytes(digest) % snapshot.shard_count,)
 
 
-def pin(query: Query) -> bool:
+def pin_snapshot(query: Query) -> bool:
     """Pins a query to a snapshot; False when none has a holder."""
     min_version = query.request.least_snapshot
-    coverage = query.cls.least_coverage
+    coverage = query.request_class_rules.least_coverage
     snapshot = pick_snapshot(query.service, coverage, min_version)
     if snapshot is None:
         return False
--- a/greengagemoor/query/state.py
+++ b/greengagemoor/query/state.py
@@ -27,7 +27,7 @@
     mismatches: int = 0
     joined: int = 0
     refused: int = 0
-    displaced: int = 0
+    displaced_queries: int = 0
     restarts: int = 0
 
 
@@ -36,12 +36,12 @@
     """Tables, clock, random source and output of the query decider.
 
     Attributes:
-        home: data centre of this entry instance.
+        data_centre: data centre of this entry instance.
         out: messages that this tick sends.
         closing: True once new requests are rejected.
     """
 
-    home: str
+    data_centre: str
     rng: random.Random
     tables: Tables = attrs.field(factory=Tables)
     counters: Counters = attrs.field(factory=Counters)
@@ -64,7 +64,7 @@
 
     def mark_dirty(self, service: ServiceRow) -> None:
         """Marks a service for placement of its waiting queries."""
-        self.tables.dirty[service.rules.name] = service
+        self.tables.dirty[service.settings.name] = service
 
     def count_attempt(self, kind: AttemptKind, shards: int) -> None:
         """Counts an attempt and its shards by the kind of the attempt."""
--- a/greengagemoor/query/tables.py
+++ b/greengagemoor/query/tables.py
@@ -11,7 +11,7 @@
 import attrs
 
 from greengagemoor.query.budget import Budget
-from greengagemoor.query.fairqueue import FairQueue
+from greengagemoor.query.fair_queue import FairQueue
 from greengagemoor.query.latency import LatencyWindow
 
 if TYPE_CHECKING:
@@ -43,12 +43,12 @@
     limit: float = 1.0
     latency: float = INITIAL_LATENCY_S
     last_used: float = 0.0
-    failures: int = 0
-    sheds: int = 0
+    consecutive_failures: int = 0
+    consecutive_sheds: int = 0
     limit_cut_at: float = float("-inf")
     backoff_until: float = 0.0
     ejected_until: float = 0.0
-    connections: int = 0
+    peak_connections: int = 0
 
 
 @attrs.define(eq=False)
@@ -56,40 +56,42 @@
     """One index version of a service and the ready holders of each shard."""
 
     version: int
-    counts: Counter = attrs.field(factory=Counter)
+    shard_counts: Counter = attrs.field(factory=Counter)
     holders: dict[int, dict[str, Searcher]] = attrs.field(factory=dict)
 
     @property
     def in_conflict(self) -> bool:
         """Whether two searchers announce different shard counts."""
-        return len(self.counts) > 1
+        return len(self.shard_counts) > 1
 
     @property
     def shard_count(self) -> int:
         """Number of shards in this version."""
-        return next(iter(self.counts), 0)
+        return next(iter(self.shard_counts), 0)
 
     @property
     def coverage(self) -> float:
         """Share of the shards that have a ready holder."""
-        return len(self.holders) / self.shard_count if self.counts else 0.0
+        return (
+            len(self.holders) / self.shard_count if self.shard_counts else 0.0
+        )
 
 
 @attrs.define(eq=False)
 class ServiceRow:
     """A service: its rules, searchers, snapshots, queue and measurements."""
 
-    rules: Service
+    settings: Service
     searchers: dict[str, Searcher] = attrs.field(factory=dict)
     snapshots: dict[int, Snapshot] = attrs.field(factory=dict)
     queue: FairQueue = attrs.field(factory=FairQueue)
     unplaced: dict[int, Query] = attrs.field(factory=dict)
     running: int = 0
-    query_time: float = INITIAL_LATENCY_S
+    mean_query_time_s: float = INITIAL_LATENCY_S
     latency: LatencyWindow = attrs.field(factory=LatencyWindow)
-    hedges: dict[str, Budget] = attrs.field(factory=dict)
-    retries: dict[str, Budget] = attrs.field(factory=dict)
-    flights: dict[tuple, Query] = attrs.field(factory=dict)
+    hedge_budgets: dict[str, Budget] = attrs.field(factory=dict)
+    retry_budgets: dict[str, Budget] = attrs.field(factory=dict)
+    queries_by_join_key: dict[tuple, Query] = attrs.field(factory=dict)
 
     @property
     def is_overloaded(self) -> bool:
@@ -98,15 +100,15 @@
 
     def hedge_budget(self, cls: RequestClass) -> Budget:
         """Returns the hedge budget of a class."""
-        if cls.name not in self.hedges:
-            self.hedges[cls.name] = Budget(cls.hedge_budget)
-        return self.hedges[cls.name]
+        if cls.name not in self.hedge_budgets:
+            self.hedge_budgets[cls.name] = Budget(cls.hedge_budget)
+        return self.hedge_budgets[cls.name]
 
     def retry_budget(self, cls: RequestClass) -> Budget:
         """Returns the retry budget of a class."""
-        if cls.name not in self.retries:
-            self.retries[cls.name] = Budget(cls.retry_budget)
-        return self.retries[cls.name]
+        if cls.name not in self.retry_budgets:
+            self.retry_budgets[cls.name] = Budget(cls.retry_budget)
+        return self.retry_budgets[cls.name]
 
 
 @attrs.define(eq=False)
@@ -135,7 +137,7 @@
 
     id: int
     request: Request
-    cls: RequestClass
+    request_class_rules: RequestClass
     service: ServiceRow
     started: float
     deadline: float
@@ -145,29 +147,29 @@
     needed: tuple[int, ...] = ()
     shard_count: int = 0
     unplaced: set[int] = attrs.field(factory=set)
-    reflected: dict[int, str] = attrs.field(factory=dict)
-    reasons: dict[int, str] = attrs.field(factory=dict)
-    tries: Counter = attrs.field(factory=Counter)
-    tried: dict[int, set[str]] = attrs.field(factory=dict)
+    results: dict[int, str] = attrs.field(factory=dict)
+    missing_reasons: dict[int, str] = attrs.field(factory=dict)
+    attempt_counts: Counter = attrs.field(factory=Counter)
+    tried_searchers: dict[int, set[str]] = attrs.field(factory=dict)
     attempts: dict[int, Attempt] = attrs.field(factory=dict)
-    refusals: Counter = attrs.field(factory=Counter)
-    paused: dict[str, float] = attrs.field(factory=dict)
+    refusal_counts: Counter = attrs.field(factory=Counter)
+    paused_until: dict[str, float] = attrs.field(factory=dict)
     attempts_made: int = 0
     restarts: int = 0
     may_have_run: bool = False
     ran_and_failed: bool = False
     send_before: float = float("inf")
-    flight_key: tuple | None = None
-    began: float = 0.0
+    join_key: tuple | None = None
+    run_started: float = 0.0
 
     def is_paused(self, now: float) -> bool:
         """Whether a searcher that refused the query is not asked for now."""
-        return any(until > now for until in self.paused.values())
+        return any(until > now for until in self.paused_until.values())
 
     @property
     def coverage(self) -> float:
         """Share of the needed shards that have a result."""
-        return len(self.reflected) / len(self.needed) if self.needed else 0.0
+        return len(self.results) / len(self.needed) if self.needed else 0.0
 
     @property
     def is_claimed(self) -> bool:
@@ -207,7 +209,7 @@
     services: dict[str, ServiceRow] = attrs.field(factory=dict)
     queries: dict[int, Query] = attrs.field(factory=dict)
     attempts: dict[int, Attempt] = attrs.field(factory=dict)
-    by_token: dict[int, Query] = attrs.field(factory=dict)
+    queries_by_token: dict[int, Query] = attrs.field(factory=dict)
     timers: list[tuple] = attrs.field(factory=list)
     dirty: dict[str, ServiceRow] = attrs.field(factory=dict)
     ids: count = attrs.field(factory=lambda: count(1))
--- a/greengagemoor/registry.py
+++ b/greengagemoor/registry.py
@@ -55,7 +55,7 @@
 
 
 choosers: Registry = Registry("chooser")
-"""Strategies that assign missing shards to searchers (query/choosing.py)."""
+"""Strategies that assign missing shards to searchers (query/choosers.py)."""
 
 completions: Registry = Registry("completion")
 """Rules for when an answer is complete (query/completion.py)."""
--- a/tests/test_query/test_claims.py
+++ b/tests/test_query/test_claims.py
@@ -7,7 +7,7 @@
     ClaimDecided,
     ClaimVerdict,
     ClaimWanted,
-    OutcomeKnown,
+    RecordOutcomeWanted,
 )
 from tests.fakes import of_kind
 from tests.test_query.helpers import Driver
@@ -41,7 +41,7 @@
         assert not attempt.repeatable
         driver.answer(attempt)
         assert driver.reply(token).code == Code.WHOLE
-        assert of_kind(driver.out, OutcomeKnown)[0].code == Code.WHOLE
+        assert of_kind(driver.out, RecordOutcomeWanted)[0].code == Code.WHOLE
 
     def test_claim_that_expires_in_the_queue_is_not_sent(self):
         """Guards against sending a request after its claim expired.
@@ -58,7 +58,7 @@
         driver.answer(driver.under_way()[0], 2.0)
         assert not driver.under_way()
         assert is_not_run(driver.reply(token).code)
-        assert is_not_run(of_kind(driver.out, OutcomeKnown)[0].code)
+        assert is_not_run(of_kind(driver.out, RecordOutcomeWanted)[0].code)
 
     def test_late_grant_is_released(self):
         driver = Driver(searchers={"a": (0, 1)})
@@ -67,7 +67,7 @@
         assert driver.reply(token).code == Code.NOT_RUN_NO_CONTROL
         grant(driver, token, 10.0)
         assert not driver.attempts
-        assert is_not_run(of_kind(driver.out, OutcomeKnown)[0].code)
+        assert is_not_run(of_kind(driver.out, RecordOutcomeWanted)[0].code)
 
     def test_late_answer_is_recorded_for_the_resend(self):
         driver = Driver(searchers={"a": (0, 1)})
@@ -77,4 +77,4 @@
         driver.send(at=3.0)
         assert driver.reply(token).code == Code.UNKNOWN
         driver.answer(attempt)
-        assert of_kind(driver.out, OutcomeKnown)[-1].code == Code.WHOLE
+        assert of_kind(driver.out, RecordOutcomeWanted)[-1].code == Code.WHOLE
