--- a/bench/many.py
+++ b/bench/many.py
@@ -180,7 +180,7 @@
         entry = server.announced_to[0]
         row = ServerRow(server)
         self.deciders[entry].state.now = self.now
-        self.deciders[entry].state.take_row(row)
+        self.deciders[entry].state.merge_row(row)
         return row
 
     def count_holding(self, row: ServerRow) -> int:
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -128,7 +128,7 @@
         model.run(3.0)
         state = model.deciders["n0"].state
         state.table = Table()
-        state.take_row(state.me)
+        state.merge_row(state.me)
         state.table.merge(model.instance_rows[1], 0.0)
         state.caught_up = False
         model.reset_costs()
--- a/greengagemoor/application.py
+++ b/greengagemoor/application.py
@@ -258,7 +258,7 @@
             first = self._overload_until is None
             self._overload_until = self.clock.now() + OVERLOAD_HOLD_S
         if first:
-            self._loop.put(membership.Overload(active=True))
+            self._loop.put(membership.OverloadChanged(active=True))
             threading.Thread(target=self._clear_overload, daemon=True).start()
 
     def _clear_overload(self) -> None:
@@ -270,7 +270,7 @@
                     self._overload_until = None
                     break
             time.sleep(left)
-        self._loop.put(membership.Overload(active=False))
+        self._loop.put(membership.OverloadChanged(active=False))
 
     def control_status(self) -> ControlStatus | None:
         """Returns the status of the control role, or None without that role."""
--- a/greengagemoor/membership/addresses.py
+++ b/greengagemoor/membership/addresses.py
@@ -8,7 +8,7 @@
 from greengagemoor.membership.rows import InstanceState, rendezvous_weight
 
 if TYPE_CHECKING:
-    from greengagemoor.membership.messages import AskAddresses
+    from greengagemoor.membership.messages import AddressesRequest
     from greengagemoor.membership.rows import InstanceRow
     from greengagemoor.membership.state import State
 
@@ -24,9 +24,9 @@
 )
 
 
-def take(state: State, msg: AskAddresses) -> None:
+def handle_address_request(state: State, msg: AddressesRequest) -> None:
     """Replies with the entries of a service, the wanted data centre first."""
-    chosen = choose(state, msg.service)
+    chosen = select_entries(state, msg.service)
     if msg.data_centre:
         chosen.sort(key=lambda row: row.data_centre != msg.data_centre)
     addresses = tuple(
@@ -43,7 +43,7 @@
     )
 
 
-def choose(state: State, service: str) -> list[InstanceRow]:
+def select_entries(state: State, service: str) -> list[InstanceRow]:
     """Selects entries by rendezvous hashing, spread over data centres.
 
     Using few entries per service keeps the number of connections to its
--- a/greengagemoor/membership/announcements.py
+++ b/greengagemoor/membership/announcements.py
@@ -8,7 +8,7 @@
 
 from greengagemoor.backends import ServerState
 from greengagemoor.codes import Code
-from greengagemoor.membership import wards
+from greengagemoor.membership import server_watch
 from greengagemoor.membership.messages import AnnounceReply
 from greengagemoor.membership.rows import ServerRow, server_key
 
@@ -21,7 +21,7 @@
 LOAD_STEPS = 4
 
 
-def take(state: State, msg: Announce) -> None:
+def handle_announcement(state: State, msg: Announce) -> None:
     """Merges an announcement, or rejects it with a result code."""
     server = _round_load(msg.server)
     row = ServerRow(server)
@@ -33,9 +33,9 @@
         return
     is_new = _record_renewal(state, row, msg.renewal)
     if kept is None or kept.server.order != server.order:
-        state.take_row(row)
+        state.merge_row(row)
     elif kept.lost and is_new:
-        state.take_row(attrs.evolve(kept, watch=kept.watch + 1, lost=False))
+        state.merge_row(attrs.evolve(kept, watch=kept.watch + 1, lost=False))
     elif kept.lost:
         stale = "a copy of an old announcement of a lost server"
         _reply(state, msg, Code.ANNOUNCEMENT_STALE, stale)
@@ -48,7 +48,7 @@
     is_watched_here = state.me.name in row.server.announced_to
     if not is_watched_here or row.server.state is ServerState.GONE:
         return False
-    return wards.heard(state, row.key, renewal)
+    return server_watch.record_renewal(state, row.key, renewal)
 
 
 def _round_load(server: BackendServer) -> BackendServer:
@@ -120,7 +120,7 @@
     state.out.append(AnnounceReply(msg.token, code, *order, detail))
 
 
-def take_drain(state: State, msg: DrainReported) -> None:
+def handle_drain(state: State, msg: DrainReported) -> None:
     """Records a drain that a server reported in an answer."""
     row = state.table.rows.get(server_key(msg.service, msg.name))
     if not isinstance(row, ServerRow):
@@ -129,4 +129,4 @@
     same_incarnation = row.server.incarnation == msg.incarnation
     if same_incarnation and row.server.state in accepting_states:
         draining = attrs.evolve(row.server, state=ServerState.DRAINING)
-        state.take_row(attrs.evolve(row, server=draining))
+        state.merge_row(attrs.evolve(row, server=draining))
--- a/greengagemoor/membership/decider.py
+++ b/greengagemoor/membership/decider.py
@@ -13,10 +13,10 @@
     addresses,
     announcements,
     documents,
+    failure_detector,
     gossip,
-    liveness,
-    view,
-    wards,
+    query_updates,
+    server_watch,
 )
 from greengagemoor.membership import messages as m
 from greengagemoor.membership.rows import InstanceState
@@ -55,7 +55,7 @@
         """
         others = {k: v for k, v in seeds.items() if k != me.name}
         self.state = State(me, others, rng, timing or Timing())
-        self.state.take_row(me)
+        self.state.merge_row(me)
 
     def step(self, now: float, msgs: Iterable[object]) -> list:
         """Handles messages in one tick; returns the messages to pass on."""
@@ -66,12 +66,12 @@
             self._receive(msg)
         if state.now >= state.round_at:
             gossip.run_round(state)
-        liveness.check_probes(state)
-        liveness.check_suspects(state)
-        view.hide(state, wards.check(state))
+        failure_detector.check_probes(state)
+        failure_detector.check_suspects(state)
+        query_updates.notify_hidden(state, server_watch.process_timers(state))
         documents.check_freshness(state)
         self._set_own_state()
-        view.note_changes(state)
+        query_updates.process_changes(state)
         return state.out
 
     def next_wake(self) -> float:
@@ -91,20 +91,20 @@
 
     def _set_own_state(self) -> None:
         state = self.state
-        wanted = state.own_state
+        wanted = state.announced_state
         if state.me.state not in (wanted, InstanceState.GONE):
-            state.set_me(state=wanted)
+            state.update_own_row(state=wanted)
 
 
 def _leave(state: State, _: m.Leave) -> None:
     """Withdraws from the addresses; notifies some peers without delay."""
     state.leaving = True
-    state.set_me(state=InstanceState.LEAVING)
+    state.update_own_row(state=InstanceState.LEAVING)
     _notify_some_peers(state)
 
 
 def _stop(state: State, _: m.Stop) -> None:
-    state.set_me(state=InstanceState.GONE)
+    state.update_own_row(state=InstanceState.GONE)
     _notify_some_peers(state)
 
 
@@ -118,33 +118,33 @@
         gossip.probe(state, name)
 
 
-def _set_overload(state: State, msg: m.Overload) -> None:
+def _set_overload(state: State, msg: m.OverloadChanged) -> None:
     state.overloaded = msg.active
 
 
 _PEER_HANDLERS: dict[type, Callable[[State, str, object], None]] = {
-    m.Probe: gossip.take_probe,
-    m.Ack: gossip.take_ack,
-    m.ProbeFor: gossip.take_relay_request,
-    m.RelayedAck: gossip.take_relayed_ack,
-    m.Buckets: gossip.take_buckets,
-    m.BucketKeys: gossip.take_keys,
-    m.RowsWanted: gossip.take_wanted,
-    m.Rows: gossip.take_rows_alone,
-    m.WantDocument: documents.take_wanted,
-    m.DocumentCopy: documents.take_copy,
-    m.HeardQuery: wards.take_query,
-    m.HeardReply: wards.take_reply,
+    m.Probe: gossip.handle_probe,
+    m.Ack: gossip.handle_ack,
+    m.ProbeFor: gossip.handle_relay_request,
+    m.RelayedAck: gossip.handle_relayed_ack,
+    m.Buckets: gossip.handle_buckets,
+    m.BucketKeys: gossip.handle_keys,
+    m.RowsWanted: gossip.handle_rows_request,
+    m.Rows: gossip.handle_rows,
+    m.WantDocument: documents.handle_document_request,
+    m.DocumentCopy: documents.handle_document_copy,
+    m.HeardQuery: server_watch.handle_heard_query,
+    m.HeardReply: server_watch.handle_heard_reply,
 }
 
 _LOCAL_HANDLERS: dict[type, Callable[[State, object], None]] = {
-    m.Announce: announcements.take,
-    m.AskAddresses: addresses.take,
+    m.Announce: announcements.handle_announcement,
+    m.AddressesRequest: addresses.handle_address_request,
     m.Leave: _leave,
     m.Stop: _stop,
-    m.Overload: _set_overload,
-    m.CurrentRead: documents.take_read,
-    VersionConfirmed: documents.take_confirmed,
-    DocumentAccepted: documents.take_accepted,
-    DrainReported: announcements.take_drain,
+    m.OverloadChanged: _set_overload,
+    m.DocumentConfirmed: documents.handle_current_read,
+    VersionConfirmed: documents.handle_confirmed,
+    DocumentAccepted: documents.handle_accepted,
+    DrainReported: announcements.handle_drain,
 }
--- a/greengagemoor/membership/documents.py
+++ b/greengagemoor/membership/documents.py
@@ -8,7 +8,7 @@
 from greengagemoor.control.documents import SHARE_LEASE_S
 from greengagemoor.document import parse_document
 from greengagemoor.errors import DocumentError
-from greengagemoor.membership import view
+from greengagemoor.membership import query_updates
 from greengagemoor.membership.messages import (
     DocumentCopy,
     Freshness,
@@ -22,13 +22,15 @@
         VersionConfirmed,
     )
     from greengagemoor.document import Document
-    from greengagemoor.membership.messages import CurrentRead
+    from greengagemoor.membership.messages import DocumentConfirmed
     from greengagemoor.membership.state import State
 
 MAX_DOCUMENT_BYTES = 64_000_000
 
 
-def hear(state: State, sender: str, version: int, fresh: Freshness) -> None:
+def handle_peer_version(
+    state: State, sender: str, version: int, fresh: Freshness
+) -> None:
     """Records a peer's freshness, and requests its document if newer."""
     _take_freshness(state, fresh)
     asked_lately = state.now - state.asked_document_at < state.timing.interval
@@ -48,18 +50,20 @@
         state.fresh_at = state.now
 
 
-def take_confirmed(state: State, msg: VersionConfirmed) -> None:
+def handle_confirmed(state: State, msg: VersionConfirmed) -> None:
     """Records a confirmation from the control role of this instance."""
     term, round_ = msg.stamp
     _take_freshness(state, Freshness(msg.group, term, round_, msg.version))
 
 
-def take_accepted(state: State, msg: DocumentAccepted) -> None:
+def handle_accepted(state: State, msg: DocumentAccepted) -> None:
     """Puts a document from the control group in force."""
-    put_in_force(state, msg.version, msg.text)
+    apply_document(state, msg.version, msg.text)
 
 
-def take_wanted(state: State, sender: str, msg: WantDocument) -> None:
+def handle_document_request(
+    state: State, sender: str, msg: WantDocument
+) -> None:
     """Sends the document to a peer that has an older one."""
     if state.document is not None and (
         msg.known_version < state.document_version
@@ -68,7 +72,7 @@
         state.send(sender, copy)
 
 
-def take_copy(state: State, _: str, msg: DocumentCopy) -> None:
+def handle_document_copy(state: State, _: str, msg: DocumentCopy) -> None:
     """Puts a peer's document in force; peers send only accepted ones."""
     if msg.version <= state.document_version:
         return
@@ -78,10 +82,10 @@
     except (zlib.error, UnicodeDecodeError):
         state.counters.refused += 1
         return
-    put_in_force(state, msg.version, text)
+    apply_document(state, msg.version, text)
 
 
-def put_in_force(state: State, version: int, text: str) -> None:
+def apply_document(state: State, version: int, text: str) -> None:
     """Puts a document in force if its version is newer."""
     if version <= state.document_version:
         return
@@ -100,11 +104,11 @@
     }
     state.out.append(DocumentChanged(version, document))
     if before is None or _shares_differ(before, document):
-        view.show_all(state)
+        query_updates.reevaluate_all(state)
         return
     for name in sorted(allowed_before.keys() | state.allowed.keys()):
         if allowed_before.get(name) != state.allowed.get(name):
-            view.show_service(state, name)
+            query_updates.reevaluate_service(state, name)
 
 
 def _shares_differ(before: Document, after: Document) -> bool:
@@ -114,9 +118,9 @@
     )
 
 
-def take_read(state: State, msg: CurrentRead) -> None:
+def handle_current_read(state: State, msg: DocumentConfirmed) -> None:
     """Puts in force what a quorum confirmed as current after the start."""
-    put_in_force(state, msg.version, msg.text)
+    apply_document(state, msg.version, msg.text)
     state.read_version = max(state.read_version, msg.version)
     state.read_at = state.now
 
@@ -131,7 +135,7 @@
     may_hold = state.confirmed and unconfirmed_s < SHARE_LEASE_S
     if may_hold != state.may_hold_shares:
         state.may_hold_shares = may_hold
-        view.show_all(state)
+        query_updates.reevaluate_all(state)
     recent = state.now - state.fresh_at < state.timing.control_silent
     ready = recent and state.confirmed
     if ready != state.control_ready:
--- a/greengagemoor/membership/liveness.py
+++ b/greengagemoor/membership/failure_detector.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from greengagemoor.membership.rows import InstanceRow
-    from greengagemoor.membership.state import Probing, State
+    from greengagemoor.membership.state import PendingProbe, State
 
 RELAY_COUNT = 2
 RELAY_AFTER_ROUNDS = 1.0
@@ -33,7 +33,7 @@
             _ask_relays(state, number, probing)
 
 
-def _ask_relays(state: State, number: int, probing: Probing) -> None:
+def _ask_relays(state: State, number: int, probing: PendingProbe) -> None:
     """Asks others to probe: one bad path must not make a peer suspect."""
     probing.relayed = True
     candidates = [
@@ -76,7 +76,7 @@
 def _set_state(
     state: State, row: InstanceRow, new_state: InstanceState
 ) -> None:
-    state.take_row(attrs.evolve(row, state=new_state))
+    state.merge_row(attrs.evolve(row, state=new_state))
 
 
 def check_suspects(state: State) -> None:
@@ -90,7 +90,7 @@
             _set_state(state, row, InstanceState.GONE)
 
 
-def watch_suspect(state: State, row: InstanceRow) -> None:
+def start_suspicion(state: State, row: InstanceRow) -> None:
     """Starts the period in which a suspect may refute."""
     rounds = math.log2(len(state.table.live_instances) + 1)
     rounds = max(MIN_SUSPICION_ROUNDS, rounds)
@@ -111,4 +111,4 @@
         )
     else:
         state.me = attrs.evolve(state.me, sequence=row.sequence)
-    state.set_me()
+    state.update_own_row()
--- a/greengagemoor/membership/gossip.py
+++ b/greengagemoor/membership/gossip.py
@@ -5,7 +5,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from greengagemoor.membership import documents, liveness
+from greengagemoor.membership import documents, failure_detector
 from greengagemoor.membership.messages import (
     Ack,
     BucketKeys,
@@ -18,7 +18,7 @@
     RowsWanted,
 )
 from greengagemoor.membership.rows import InstanceRow, InstanceState, ServerRow
-from greengagemoor.membership.state import Probing
+from greengagemoor.membership.state import PendingProbe
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -50,7 +50,9 @@
     del state.look_at[:MAX_SUSPICION_PROBES_PER_ROUND]
     if not target or state.counters.rounds % LOST_PROBE_EVERY_ROUNDS == 0:
         _probe_lost(state)
-    for key in state.table.forget_gone(state.now - state.timing.tombstone):
+    for key in state.table.remove_tombstones(
+        state.now - state.timing.tombstone
+    ):
         state.wards.pop(key, None)
 
 
@@ -133,7 +135,7 @@
     number = state.next_probe
     state.next_probe += 1
     if not relay_for:
-        state.probes[number] = Probing(target, state.now)
+        state.probes[number] = PendingProbe(target, state.now)
     message = Probe(
         number=number,
         root=state.table.root,
@@ -179,10 +181,12 @@
     )
 
 
-def take_probe(state: State, sender: str, msg: Probe) -> None:
+def handle_probe(state: State, sender: str, msg: Probe) -> None:
     """Merges the rows of a probe, and answers with changed rows."""
-    take_rows(state, sender, msg.rows)
-    documents.hear(state, sender, msg.document_version, msg.fresh)
+    merge_rows(state, sender, msg.rows)
+    documents.handle_peer_version(
+        state, sender, msg.document_version, msg.fresh
+    )
     ack = Ack(
         number=msg.number,
         root=state.table.root,
@@ -195,13 +199,15 @@
     state.send(sender, ack)
 
 
-def take_ack(state: State, sender: str, msg: Ack) -> None:
+def handle_ack(state: State, sender: str, msg: Ack) -> None:
     """Completes a probe; compares digests if the roots keep differing."""
     if msg.relay_for:
         state.send(msg.relay_for, RelayedAck(msg.relay_number))
     state.probes.pop(msg.number, None)
-    take_rows(state, sender, msg.rows)
-    documents.hear(state, sender, msg.document_version, msg.fresh)
+    merge_rows(state, sender, msg.rows)
+    documents.handle_peer_version(
+        state, sender, msg.document_version, msg.fresh
+    )
     _compare_if_diverged(state, sender, msg.root)
 
 
@@ -222,21 +228,21 @@
         state.send(sender, Buckets(state.table.pack_digests()))
 
 
-def take_relay_request(state: State, sender: str, msg: ProbeFor) -> None:
+def handle_relay_request(state: State, sender: str, msg: ProbeFor) -> None:
     """Probes an instance on behalf of one that got no answer from it."""
     probe(state, msg.target, relay_for=sender, relay_number=msg.number)
 
 
-def take_relayed_ack(state: State, _: str, msg: RelayedAck) -> None:
+def handle_relayed_ack(state: State, _: str, msg: RelayedAck) -> None:
     """Completes a probe whose target answered another instance."""
     state.probes.pop(msg.number, None)
 
 
-def take_buckets(state: State, sender: str, msg: Buckets) -> None:
+def handle_buckets(state: State, sender: str, msg: Buckets) -> None:
     """Replies with the keys in the buckets that differ."""
     differing = [
         bucket
-        for bucket in state.table.differing(msg.digests)
+        for bucket in state.table.differing_buckets(msg.digests)
         if bucket >= msg.start
     ]
     chosen = tuple(differing[:MAX_BUCKETS_PER_REPLY])
@@ -251,7 +257,7 @@
     )
 
 
-def take_keys(state: State, sender: str, msg: BucketKeys) -> None:
+def handle_keys(state: State, sender: str, msg: BucketKeys) -> None:
     """Sends rows that the sender lacks, and requests its newer ones."""
     theirs = {key.key: key.order for key in msg.keys}
     known = state.table.rows
@@ -284,14 +290,14 @@
         state.caught_up = True
 
 
-def take_rows_alone(state: State, sender: str, msg: Rows) -> None:
+def handle_rows(state: State, sender: str, msg: Rows) -> None:
     """Merges rows sent without a probe, at the end of a comparison."""
-    take_rows(state, sender, msg)
+    merge_rows(state, sender, msg)
     if state.awaits_last_rows:
         state.caught_up = True
 
 
-def take_wanted(state: State, sender: str, msg: RowsWanted) -> None:
+def handle_rows_request(state: State, sender: str, msg: RowsWanted) -> None:
     """Sends the requested rows."""
     known = state.table.rows
     rows = [known[key] for key in msg.keys if key in known]
@@ -299,10 +305,10 @@
         state.send(sender, _to_rows(rows))
 
 
-def take_rows(state: State, _: str, msg: Rows) -> None:
+def merge_rows(state: State, _: str, msg: Rows) -> None:
     """Merges rows, and refutes wrong rows about this instance."""
     for row in (*msg.instances, *msg.servers):
         if row.key == state.me.key:
-            liveness.refute(state, row)
+            failure_detector.refute(state, row)
         else:
-            state.take_row(row)
+            state.merge_row(row)
--- a/greengagemoor/membership/messages.py
+++ b/greengagemoor/membership/messages.py
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class Exchange:
+class ProbeFields:
     """The fields that a probe and its answer share.
 
     Attributes:
@@ -58,12 +58,12 @@
 
 
 @attrs.frozen
-class Probe(Exchange):
+class Probe(ProbeFields):
     """One anti-entropy exchange, which is also a liveness probe."""
 
 
 @attrs.frozen
-class Ack(Exchange):
+class Ack(ProbeFields):
     """Answers a ``Probe``, with changed rows."""
 
 
@@ -194,7 +194,7 @@
 
 
 @attrs.frozen
-class AskAddresses:
+class AddressesRequest:
     """Asks which entries the callers of a service should use."""
 
     token: int
@@ -232,14 +232,14 @@
 
 
 @attrs.frozen
-class Overload:
+class OverloadChanged:
     """Whether this entry rejects requests because of overload."""
 
     active: bool
 
 
 @attrs.frozen
-class CurrentRead:
+class DocumentConfirmed:
     """A quorum confirmed this document as current.
 
     Attributes:
--- a/greengagemoor/membership/view.py
+++ b/greengagemoor/membership/query_updates.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from greengagemoor.membership import liveness, wards
+from greengagemoor.membership import failure_detector, server_watch
 from greengagemoor.membership.rows import (
     InstanceState,
     ServerRow,
@@ -19,7 +19,7 @@
     from greengagemoor.membership.state import State
 
 
-def note_changes(state: State) -> None:
+def process_changes(state: State) -> None:
     """Processes the rows that changed in this tick."""
     while state.changed:
         _process_change(state, state.changed.pop(0))
@@ -27,20 +27,21 @@
 
 def _process_change(state: State, row: Row) -> None:
     if isinstance(row, ServerRow):
-        wards.note_row(state, row)
-        # note_row may have overruled the row: show the one that is kept now.
-        show(state, state.table.rows[row.key])
+        server_watch.update_watch(state, row)
+        # update_watch may have overruled the row: show the one that is kept
+        # now.
+        notify_if_changed(state, state.table.rows[row.key])
         return
     if row.state is InstanceState.SUSPECT:
-        liveness.watch_suspect(state, row)
+        failure_detector.start_suspicion(state, row)
         return
     was_hidden = set(state.hidden)
-    wards.note_instance(state, row.name)
+    server_watch.update_hidden_of(state, row.name)
     for key in was_hidden - state.hidden:
-        show(state, state.table.rows[key])
+        notify_if_changed(state, state.table.rows[key])
 
 
-def show(state: State, row: ServerRow) -> None:
+def notify_if_changed(state: State, row: ServerRow) -> None:
     """Notifies the query decider if its view of a server changes."""
     current = _usable_server(state, row)
     previous = state.shown.get(row.key)
@@ -80,22 +81,22 @@
     return server.connection_cap // state.document.connection_places
 
 
-def hide(state: State, keys: list[str]) -> None:
+def notify_hidden(state: State, keys: list[str]) -> None:
     """Notifies the query decider of servers that are now hidden."""
     for key in keys:
-        show(state, state.table.rows[key])
+        notify_if_changed(state, state.table.rows[key])
 
 
-def show_all(state: State) -> None:
+def reevaluate_all(state: State) -> None:
     """Evaluates every server again, after a change of the document."""
     rows = [
         row for row in state.table.rows.values() if isinstance(row, ServerRow)
     ]
     for row in rows:
-        show(state, row)
+        notify_if_changed(state, row)
 
 
-def show_service(state: State, service: str) -> None:
+def reevaluate_service(state: State, service: str) -> None:
     """Evaluates the servers of one service again."""
     for row in list(state.table.servers_of(service)):
-        show(state, row)
+        notify_if_changed(state, row)
--- a/greengagemoor/membership/wards.py
+++ b/greengagemoor/membership/server_watch.py
@@ -13,7 +13,7 @@
 from greengagemoor.backends import ServerState
 from greengagemoor.membership.messages import HeardQuery, HeardReply
 from greengagemoor.membership.rows import ServerRow
-from greengagemoor.membership.state import Ward
+from greengagemoor.membership.state import WatchedServer
 
 if TYPE_CHECKING:
     from greengagemoor.membership.state import State
@@ -22,13 +22,13 @@
 ASK_WAIT_ROUNDS = 1.0
 
 
-def silent_after(state: State) -> float:
+def silence_timeout_s(state: State) -> float:
     """Returns the seconds after which a silent server is dropped."""
     document = state.document
     return document.silent_after_s if document else DEFAULT_SILENT_AFTER_S
 
 
-def heard(state: State, key: str, renewal: int) -> bool:
+def record_renewal(state: State, key: str, renewal: int) -> bool:
     """Records a renewal; returns False for a copy of an old one."""
     ward = state.wards.get(key)
     if ward is not None and renewal <= ward.renewal:
@@ -38,18 +38,18 @@
     return True
 
 
-def _restart_silence_timer(state: State, key: str) -> Ward:
-    ward = state.wards.setdefault(key, Ward(heard_at=state.now))
+def _restart_silence_timer(state: State, key: str) -> WatchedServer:
+    ward = state.wards.setdefault(key, WatchedServer(heard_at=state.now))
     ward.heard_at = state.now
     ward.asked_at = None
     if not ward.timed:
         ward.timed = True
-        due = state.now + silent_after(state)
+        due = state.now + silence_timeout_s(state)
         heapq.heappush(state.ward_timers, (due, key))
     return ward
 
 
-def note_row(state: State, row: ServerRow) -> None:
+def update_watch(state: State, row: ServerRow) -> None:
     """Starts or ends watching as a server selects its watchers.
 
     An instance that restarted has lost its list of watched servers, and
@@ -63,7 +63,7 @@
         _overrule_loss(state, row)
     elif not row.lost and (ward is None or not ward.timed):
         _restart_silence_timer(state, row.key)
-    note_guardians(state, row)
+    update_hidden(state, row)
 
 
 def _overrule_loss(state: State, row: ServerRow) -> None:
@@ -73,21 +73,21 @@
     without this, every server of the other side would be dropped at that
     moment.
     """
-    state.take_row(attrs.evolve(row, watch=row.watch + 1, lost=False))
+    state.merge_row(attrs.evolve(row, watch=row.watch + 1, lost=False))
 
 
-def _heard_recently(state: State, ward: Ward) -> bool:
-    recent = state.now - ward.heard_at < silent_after(state)
+def _heard_recently(state: State, ward: WatchedServer) -> bool:
+    recent = state.now - ward.heard_at < silence_timeout_s(state)
     return ward.renewal >= 0 and recent
 
 
-def note_instance(state: State, name: str) -> None:
+def update_hidden_of(state: State, name: str) -> None:
     """Evaluates the servers that an instance watches when it changes."""
-    for key in list(state.table.guarded.get(name, ())):
-        note_guardians(state, state.table.rows[key])
+    for key in list(state.table.watched_by.get(name, ())):
+        update_hidden(state, state.table.rows[key])
 
 
-def note_guardians(state: State, row: ServerRow) -> None:
+def update_hidden(state: State, row: ServerRow) -> None:
     """Hides a server here when none of its watchers is live.
 
     If servers fail together with all their watchers, as with a rack, no
@@ -102,12 +102,12 @@
         state.orphans.pop(row.key, None)
         state.hidden.discard(row.key)
     elif row.key not in state.orphans and row.key not in state.hidden:
-        due = state.now + silent_after(state)
+        due = state.now + silence_timeout_s(state)
         state.orphans[row.key] = due
         heapq.heappush(state.ward_timers, (due, row.key))
 
 
-def check(state: State) -> list[str]:
+def process_timers(state: State) -> list[str]:
     """Processes due timers; returns the keys of servers newly hidden."""
     timers = state.ward_timers
     newly_hidden = []
@@ -126,9 +126,9 @@
     return newly_hidden
 
 
-def _check_ward(state: State, key: str, ward: Ward) -> float | None:
+def _check_ward(state: State, key: str, ward: WatchedServer) -> float | None:
     """Returns when to check again, or None when watching is over."""
-    due = ward.heard_at + silent_after(state)
+    due = ward.heard_at + silence_timeout_s(state)
     if state.now < due:
         return due
     wait = ASK_WAIT_ROUNDS * state.timing.interval
@@ -169,17 +169,17 @@
     if not isinstance(row, ServerRow) or row.is_gone:
         return
     state.counters.silent += 1
-    state.take_row(attrs.evolve(row, lost=True))
+    state.merge_row(attrs.evolve(row, lost=True))
 
 
-def take_query(state: State, sender: str, msg: HeardQuery) -> None:
+def handle_heard_query(state: State, sender: str, msg: HeardQuery) -> None:
     """Replies whether this instance received a renewal recently."""
     ward = state.wards.get(msg.key)
     heard_recently = ward is not None and _heard_recently(state, ward)
     state.send(sender, HeardReply(msg.key, heard_recently))
 
 
-def take_reply(state: State, _: str, msg: HeardReply) -> None:
+def handle_heard_reply(state: State, _: str, msg: HeardReply) -> None:
     """Keeps a server whose renewals another watcher still receives."""
     ward = state.wards.get(msg.key)
     if ward is not None and ward.asked_at is not None and msg.heard:
--- a/greengagemoor/membership/state.py
+++ b/greengagemoor/membership/state.py
@@ -37,7 +37,7 @@
 
 
 @attrs.define
-class Probing:
+class PendingProbe:
     """An unanswered probe."""
 
     target: str
@@ -46,7 +46,7 @@
 
 
 @attrs.define
-class Ward:
+class WatchedServer:
     """A backend server whose renewals this instance monitors.
 
     Attributes:
@@ -103,7 +103,7 @@
     hot: dict[str, int] = attrs.field(factory=dict)
     changed: list[Row] = attrs.field(factory=list)
     round_at: float = 0.0
-    probes: dict[int, Probing] = attrs.field(factory=dict)
+    probes: dict[int, PendingProbe] = attrs.field(factory=dict)
     next_probe: int = 1
     targets: list[str] = attrs.field(factory=list)
     differing_rounds: int = 0
@@ -112,7 +112,7 @@
     # Liveness.
     look_at: list[str] = attrs.field(factory=list)
     suspects: dict[str, float] = attrs.field(factory=dict)
-    wards: dict[str, Ward] = attrs.field(factory=dict)
+    wards: dict[str, WatchedServer] = attrs.field(factory=dict)
     orphans: dict[str, float] = attrs.field(factory=dict)
     hidden: set[str] = attrs.field(factory=set)
     ward_timers: list[tuple[float, str]] = attrs.field(factory=list)
@@ -145,7 +145,7 @@
             Send(name, payload, address or self.seeds.get(name, ""))
         )
 
-    def take_row(self, row: Row) -> Row | None:
+    def merge_row(self, row: Row) -> Row | None:
         """Merges a row; the next probes carry it if it is a change."""
         kept = self.table.merge(row, self.now)
         if kept is not None:
@@ -154,15 +154,15 @@
             self.changed.append(kept)
         return kept
 
-    def set_me(self, **changes) -> None:
+    def update_own_row(self, **changes) -> None:
         """Changes the own row; the next probes carry it."""
         self.me = attrs.evolve(
             self.me, sequence=self.me.sequence + 1, **changes
         )
-        self.take_row(self.me)
+        self.merge_row(self.me)
 
     @property
-    def own_state(self) -> InstanceState:
+    def announced_state(self) -> InstanceState:
         """The state that this instance should announce now."""
         if self.leaving:
             return InstanceState.LEAVING
--- a/greengagemoor/membership/table.py
+++ b/greengagemoor/membership/table.py
@@ -33,7 +33,8 @@
     each instance removes them in its own time without digests that differ.
 
     Attributes:
-        guarded: keys of the servers that announce to an instance, by its name.
+        watched_by: keys of the servers that announce to an instance, by its
+            name.
     """
 
     def __init__(self):
@@ -43,7 +44,7 @@
         self.live_instances: dict[str, InstanceRow] = {}
         self.by_data_centre: dict[str, dict[str, InstanceRow]] = {}
         self.by_role: dict[str, dict[str, InstanceRow]] = {}
-        self.guarded: dict[str, set[str]] = {}
+        self.watched_by: dict[str, set[str]] = {}
         self.by_service: dict[str, dict[str, ServerRow]] = {}
         self._digests = [0] * BUCKET_COUNT
         self.root = 0
@@ -79,7 +80,7 @@
             return
         self.by_service.setdefault(row.server.service, {})[row.key] = row
         for watcher in row.server.announced_to:
-            self.guarded.setdefault(watcher, set()).add(row.key)
+            self.watched_by.setdefault(watcher, set()).add(row.key)
 
     def _unlink(self, row: Row) -> None:
         if row.is_gone:
@@ -93,7 +94,7 @@
             return
         del self.by_service[row.server.service][row.key]
         for watcher in row.server.announced_to:
-            self.guarded[watcher].discard(row.key)
+            self.watched_by[watcher].discard(row.key)
 
     def _instance_indexes(
         self, row: InstanceRow
@@ -108,7 +109,7 @@
         self._digests[index] ^= digest & _BUCKET_DIGEST_MASK
         self.root ^= digest
 
-    def forget_gone(self, before: float) -> list[str]:
+    def remove_tombstones(self, before: float) -> list[str]:
         """Removes rows that went before a time; returns their keys."""
         # Rows are inserted when they become gone, so the oldest come first.
         old = [
@@ -126,7 +127,7 @@
         """Returns the digests of all buckets, four bytes each."""
         return struct.pack(f">{BUCKET_COUNT}I", *self._digests)
 
-    def differing(self, packed: bytes) -> list[int]:
+    def differing_buckets(self, packed: bytes) -> list[int]:
         """Returns the buckets whose digests differ from a packed list."""
         if len(packed) != 4 * BUCKET_COUNT:
             return []
--- a/greengagemoor/node.py
+++ b/greengagemoor/node.py
@@ -249,7 +249,7 @@
         if msg.reply.code != Code.CURRENT:
             self._next_read_at = self._now + READ_RETRY_S
             return
-        read = membership.CurrentRead(msg.reply.version, msg.reply.text)
+        read = membership.DocumentConfirmed(msg.reply.version, msg.reply.text)
         inboxes.membership.append(read)
 
 
--- a/greengagemoor/shell/routes.py
+++ b/greengagemoor/shell/routes.py
@@ -14,7 +14,7 @@
 from greengagemoor.control.commands import ApplyDocument
 from greengagemoor.control.messages import OpKind
 from greengagemoor.errors import InvalidInputError
-from greengagemoor.membership.messages import Announce, AskAddresses
+from greengagemoor.membership.messages import AddressesRequest, Announce
 from greengagemoor.query.messages import Request
 from greengagemoor.shell.http_messages import (
     AnnouncementBody,
@@ -148,7 +148,7 @@
 @route("GET", "/v1/addresses")
 def _addresses(req: HttpRequest) -> Response:
     reply = req.app.ask(
-        lambda token: AskAddresses(
+        lambda token: AddressesRequest(
             token, req.argument("service"), req.argument("data_centre")
         ),
         MEMBERSHIP_TIMEOUT_S,
--- a/tests/test_membership/test_addresses.py
+++ b/tests/test_membership/test_addresses.py
@@ -5,7 +5,7 @@
 import random
 
 from greengagemoor.document import parse_document
-from greengagemoor.membership.addresses import choose
+from greengagemoor.membership.addresses import select_entries
 from greengagemoor.membership.decider import MembershipDecider
 from greengagemoor.membership.messages import Leave
 from greengagemoor.membership.rows import InstanceRow, InstanceState
@@ -41,14 +41,14 @@
     decider = MembershipDecider(row(0), {}, random.Random(1))
     decider.state.document = parse_document(DOCUMENT)
     for number in range(1, count):
-        decider.state.take_row(row(number))
-    decider.state.take_row(row(0, sequence=2))
+        decider.state.merge_row(row(number))
+    decider.state.merge_row(row(0, sequence=2))
     return decider.state
 
 
 def entries_by_service(state) -> dict[str, list[str]]:
     """Returns the names of the entries, by service."""
-    return {s: [r.name for r in choose(state, s)] for s in SERVICES}
+    return {s: [r.name for r in select_entries(state, s)] for s in SERVICES}
 
 
 class TestEntrySelection:
@@ -57,7 +57,7 @@
     def test_two_entries_in_two_data_centres(self):
         state = make_state()
         for service in SERVICES:
-            chosen = choose(state, service)
+            chosen = select_entries(state, service)
             assert len(chosen) == 2
             assert len({r.data_centre for r in chosen}) == 2
 
@@ -79,7 +79,7 @@
         """
         state = make_state()
         before = entries_by_service(state)
-        state.take_row(row(4, InstanceState.LEAVING, sequence=2))
+        state.merge_row(row(4, InstanceState.LEAVING, sequence=2))
         after = entries_by_service(state)
         for service in SERVICES:
             if "e4" not in before[service]:
@@ -98,14 +98,14 @@
         for bad in (InstanceState.OVERLOADED, InstanceState.SUSPECT):
             for number in range(3):
                 sequence = 3 if bad is InstanceState.OVERLOADED else 4
-                state.take_row(row(number, bad, sequence=sequence))
-            assert len(choose(state, "s")) == 2
+                state.merge_row(row(number, bad, sequence=sequence))
+            assert len(select_entries(state, "s")) == 2
 
     def test_overloaded_are_left_out_while_others_are_ready(self):
         state = make_state(3)
-        state.take_row(row(1, InstanceState.OVERLOADED, sequence=2))
+        state.merge_row(row(1, InstanceState.OVERLOADED, sequence=2))
         for service in SERVICES:
-            assert "e1" not in [r.name for r in choose(state, service)]
+            assert "e1" not in [r.name for r in select_entries(state, service)]
 
 
 class TestLeaving:
@@ -116,7 +116,7 @@
         fleet.put("e1", Leave())
         fleet.run(1.0)
         for entry in ENTRIES:
-            chosen = choose(fleet.nodes[entry].membership.state, "s")
+            chosen = select_entries(fleet.nodes[entry].membership.state, "s")
             assert "e1" not in [r.name for r in chosen]
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -7,7 +7,7 @@
 from greengagemoor.control.client import OperationRequest
 from greengagemoor.control.commands import ApplyDocument
 from greengagemoor.control.messages import OpKind
-from greengagemoor.membership.messages import Announce, AskAddresses
+from greengagemoor.membership.messages import AddressesRequest, Announce
 from greengagemoor.query.messages import Request
 from tests.fakes import DOCUMENT, FakeFleet, answer_to, server
 from tests.output_text import format_output
@@ -52,7 +52,7 @@
         fleet = start_fleet()
         announce(fleet)
         fleet.run(2.0)
-        fleet.put("e2", AskAddresses(1, "s"))
+        fleet.put("e2", AddressesRequest(1, "s"))
         fleet.put("e2", Request(2, "atlas", "read", "r-1", "s", body='"q"'))
         booking = Request(
             3, "atlas", "book", "3000-x", "s", repeatable=False, key="well-7"
