--- a/greengagemoor/query/admission.py
+++ b/greengagemoor/query/admission.py
@@ -44,7 +44,7 @@
 def check_admission(
     service: ServiceRow, cls: RequestClass, caller: str, remaining: float
 ) -> Rejection | None:
-    """Returns a refusal if the wait is too long or the queue is full.
+    """Returns a rejection if the wait is too long or the queue is full.
 
     Without the deadline check, the queue fills with queries that will be late:
     searchers are fully loaded with answers that no caller waits for any more,
--- a/greengagemoor/query/requests.py
+++ b/greengagemoor/query/requests.py
@@ -24,9 +24,9 @@
 
 def handle_request(state: State, request: Request) -> None:
     """Rejects, joins or queues a request, or asks for its claim."""
-    refusal = _check_request(state, request)
-    if refusal:
-        _reject(state, request, refusal)
+    rejection = _check_request(state, request)
+    if rejection:
+        _reject(state, request, rejection)
         return
     service = state.tables.services[request.service]
     cls = service.settings.request_class(request.request_class)
@@ -59,7 +59,7 @@
     return None
 
 
-def _reject(state: State, request: Request, refusal: Rejection) -> None:
+def _reject(state: State, request: Request, rejection: Rejection) -> None:
     state.counters.refused += 1
     state.out.append(
         Reply(
@@ -67,7 +67,10 @@
             caller=request.caller,
             request_class=request.request_class,
             answer=answers.build_rejection(
-                request, refusal.code, refusal.retry_after_s, refusal.detail
+                request,
+                rejection.code,
+                rejection.retry_after_s,
+                rejection.detail,
             ),
             elapsed_s=0.0,
         )
@@ -90,11 +93,11 @@
         return
     if _join(state, query):
         return
-    refusal = admission.check_admission(
+    rejection = admission.check_admission(
         service, cls, request.caller, deadline - state.now
     )
-    if refusal:
-        _reject(state, request, refusal)
+    if rejection:
+        _reject(state, request, rejection)
         return
     _make_room(state, query)
     _register(state, query)
--- a/greengagemoor/query/tables.py
+++ b/greengagemoor/query/tables.py
@@ -133,7 +133,7 @@
 
 @attrs.define(eq=False)
 class Query:
-    """A request sent to searchers, with all waiters that joined this flight."""
+    """A request sent to searchers, with all waiters that joined it."""
 
     id: int
     request: Request
