--- a/greengagemoor/application.py
+++ b/greengagemoor/application.py
@@ -22,14 +22,14 @@
 from greengagemoor.node import Node, RejectNewRequests, StartUp
 from greengagemoor.query import messages as query
 from greengagemoor.query.decider import QueryDecider
-from greengagemoor.shell import notes, routes, status
+from greengagemoor.shell import event_log, routes, status
+from greengagemoor.shell.attempt_dispatch import AttemptDispatcher
 from greengagemoor.shell.clock import Clock
 from greengagemoor.shell.disk import DiskWriter
-from greengagemoor.shell.dispatch import Dispatcher
 from greengagemoor.shell.http_server import HttpServer
-from greengagemoor.shell.loop import TickLoop
 from greengagemoor.shell.peers import PeerTransport
-from greengagemoor.shell.replies import Replies
+from greengagemoor.shell.replies import PendingReplies
+from greengagemoor.shell.tick_loop import TickLoop
 from greengagemoor.storage.folder import DataFolder
 from greengagemoor.storage.store import Store
 
@@ -62,7 +62,7 @@
         self.events = EventListeners()
         self.routes = list(routes.ROUTES)
         self.request_slots = threading.Semaphore(cfg.waiting_requests)
-        self._replies = Replies()
+        self._replies = PendingReplies()
         self._store: Store | None = None
         self._member_id = ""
         if cfg.is_control:
@@ -75,7 +75,7 @@
             cfg.instance, cfg.peer_address, self._loop.put
         )
         me = self.node.membership.state.me
-        self._dispatcher = Dispatcher(
+        self._dispatcher = AttemptDispatcher(
             f"{me.name}.{me.incarnation}",
             cfg.attempt_threads,
             self.clock,
@@ -156,7 +156,7 @@
         )
 
     def _connect(self) -> None:
-        give = self._replies.give
+        give = self._replies.resolve
         add = self._loop.add_handler
         add(query.Reply, self._handle_reply)
         add(membership.AnnounceReply, lambda m: give(m.token, m))
@@ -167,11 +167,11 @@
         add(control.Send, self._peers.send)
         if self._disk is not None:
             add(control.Persist, self._disk.write)
-        notes.connect(add, self.events)
+        event_log.add_log_handlers(add, self.events)
 
     def _handle_reply(self, reply: query.Reply) -> None:
         self.metrics.record_reply(reply)
-        self._replies.give(reply.token, reply)
+        self._replies.resolve(reply.token, reply)
         log.event(
             "answer",
             level="DEBUG",
@@ -244,7 +244,7 @@
         Returns:
             The answer, or None if it did not arrive in time.
         """
-        token, fut = self._replies.open()
+        token, fut = self._replies.register()
         self._loop.put(make(token))
         return self._replies.wait(token, fut, wait_s)
 
@@ -278,7 +278,7 @@
 
     def status(self) -> dict[str, Any]:
         """Returns the content of ``/v1/status``."""
-        return status.describe(self.node, self.clock.now())
+        return status.build_status(self.node, self.clock.now())
 
     def gauges(self) -> dict[str, float]:
         """Returns the current values of the gauges for ``/metrics``."""
--- a/greengagemoor/serving/control.py
+++ b/greengagemoor/serving/control.py
@@ -31,7 +31,7 @@
 from greengagemoor.serving.operators import EvacuationPage, OperatorCalls
 from greengagemoor.serving.quarantine import QuarantinePage
 from greengagemoor.serving.ticker import Ticker
-from greengagemoor.shell import group_notes
+from greengagemoor.shell import group_log
 from greengagemoor.shell.clock import Clock
 
 if TYPE_CHECKING:
@@ -227,7 +227,7 @@
         elif isinstance(msg, Done):
             self._calls.complete(msg)
         else:
-            group_notes.write(msg)
+            group_log.log_notice(msg)
 
     def _send(self, msg: Send, inbox: deque) -> None:
         if msg.to == self.cfg.instance:
--- a/greengagemoor/shell/dispatch.py
+++ b/greengagemoor/shell/attempt_dispatch.py
@@ -65,7 +65,7 @@
     cancelled: bool = False
 
 
-class Dispatcher:
+class AttemptDispatcher:
     """Runs attempts in worker threads.
 
     Each searcher has a connection pool, bounded by this entry's share.
--- a/greengagemoor/shell/notes.py
+++ b/greengagemoor/shell/event_log.py
@@ -6,7 +6,7 @@
 
 from greengagemoor import events, log
 from greengagemoor.query import messages as query
-from greengagemoor.shell import group_notes
+from greengagemoor.shell import group_log
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -16,7 +16,7 @@
     AddHandler = Callable[[type, Callable[[object], None]], None]
 
 
-def connect(add: AddHandler, bus: EventListeners) -> None:
+def add_log_handlers(add: AddHandler, bus: EventListeners) -> None:
     """Adds handlers that log these messages and notify the listeners.
 
     Args:
@@ -39,7 +39,7 @@
     add_notifying(query.ServerChanged, events.SERVER_CHANGED, _log_server)
     add_notifying(query.ServerGone, events.SERVER_CHANGED, _log_server_gone)
     add_notifying(query.ControlReady, events.CONTROL_CHANGED, _log_control)
-    for kind, write in group_notes.WRITERS.items():
+    for kind, write in group_log.LOGGERS_BY_NOTICE.items():
         add(kind, write)
 
 
--- a/greengagemoor/shell/group_notes.py
+++ b/greengagemoor/shell/group_log.py
@@ -11,9 +11,9 @@
     from collections.abc import Callable
 
 
-def write(msg: object) -> bool:
+def log_notice(msg: object) -> bool:
     """Logs a notice; returns whether the message was one."""
-    writer = WRITERS.get(type(msg))
+    writer = LOGGERS_BY_NOTICE.get(type(msg))
     if writer is None:
         return False
     writer(msg)
@@ -44,7 +44,7 @@
     )
 
 
-WRITERS: dict[type, Callable[[object], None]] = {
+LOGGERS_BY_NOTICE: dict[type, Callable[[object], None]] = {
     MembersChanged: _log_members,
     JoinPending: _log_join_waiting,
 }
--- a/greengagemoor/shell/replies.py
+++ b/greengagemoor/shell/replies.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 
-class Replies:
+class PendingReplies:
     """Futures by token; a token belongs to one waiting thread."""
 
     def __init__(self):
@@ -17,7 +17,7 @@
         self._lock = threading.Lock()
         self._waiting: dict[int, Future] = {}
 
-    def open(self) -> tuple[int, Future]:
+    def register(self) -> tuple[int, Future]:
         """Returns a new token and the future of its answer."""
         fut: Future = Future()
         with self._lock:
@@ -25,7 +25,7 @@
             self._waiting[token] = fut
         return token, fut
 
-    def give(self, token: int, value: Any) -> None:
+    def resolve(self, token: int, value: Any) -> None:
         """Sets the answer of a token; does nothing if nobody waits for it."""
         with self._lock:
             fut = self._waiting.pop(token, None)
--- a/greengagemoor/shell/status.py
+++ b/greengagemoor/shell/status.py
@@ -11,7 +11,7 @@
 MAX_CONTROL_AGE_S = 1e9
 
 
-def describe(node: Node, now: float) -> dict[str, Any]:
+def build_status(node: Node, now: float) -> dict[str, Any]:
     """Returns the JSON object of ``/v1/status``."""
     state = node.membership.state
     control_age = min(now - state.fresh_at, MAX_CONTROL_AGE_S)
--- a/tests/test_log_fields.py
+++ b/tests/test_log_fields.py
@@ -11,7 +11,7 @@
 
 PACKAGE = Path(greengagemoor.__file__).parent
 EVENT_LOOP_PACKAGES = ("aio", "feed", "forward", "platform", "serving")
-SHARED = (PACKAGE / "shell" / "group_notes.py",)
+SHARED = (PACKAGE / "shell" / "group_log.py",)
 PAGE = (PACKAGE.parent / "docs" / "OPERATIONS.md").read_text()
 
 
