--- a/bench/control_slopes.py
+++ b/bench/control_slopes.py
@@ -10,7 +10,7 @@
 import zlib
 from pathlib import Path
 
-from bench.fits import print_fit
+from bench.linear_fit import print_fit
 from greengagemoor.control.commands import ApplyDocument, Claim
 from greengagemoor.control.decider import ControlDecider
 from greengagemoor.control.ledger import Ledger
--- a/bench/costs.py
+++ b/bench/costs.py
@@ -13,8 +13,8 @@
 import time
 from pathlib import Path
 
-from examples.demo import SHARDS, leads
-from examples.fleet import EXAMPLES, Fleet, free_addresses, wait_for
+from examples.demo import SHARDS, is_leader
+from examples.fleet import EXAMPLES_FOLDER, Fleet, free_addresses, wait_for
 from greengagemoor.cmd.load import Plan, send_load
 from greengagemoor.document import parse_document
 from greengagemoor.query.decider import QueryDecider
@@ -54,7 +54,7 @@
     from greengagemoor.backends import BackendServer, HeldVersion, ServerState
 
     decider = QueryDecider("dc-1", random.Random(1))
-    document = parse_document((EXAMPLES / "contracts.json").read_text())
+    document = parse_document((EXAMPLES_FOLDER / "contracts.json").read_text())
     msgs = [DocumentChanged(1, document)]
     for name, shards in SHARDS.items():
         held = tuple(map(int, shards.split(",")))
@@ -153,7 +153,11 @@
     wait_for(
         "every instance to list all others",
         lambda: all(
-            len((fleet.get(http[n], "/v1/status") or {}).get("instances", ()))
+            len(
+                (fleet.get_json(http[n], "/v1/status") or {}).get(
+                    "instances", ()
+                )
+            )
             == len(names)
             for n in names
         ),
@@ -213,8 +217,10 @@
         peer_address=ports[3],
         **common,
     )
-    wait_for("a leader", lambda: leads(fleet, ports[0]))
-    fleet.ctl("apply", str(EXAMPLES / "contracts.json"), "--at", ports[0])
+    wait_for("a leader", lambda: is_leader(fleet, ports[0]))
+    fleet.run_ctl(
+        "apply", str(EXAMPLES_FOLDER / "contracts.json"), "--at", ports[0]
+    )
     for address, (searcher, shards) in zip(
         ports[4:], SHARDS.items(), strict=True
     ):
@@ -226,7 +232,7 @@
 
 
 def _has_all_searchers(fleet: Fleet, http: str) -> bool:
-    status = fleet.get(http, "/v1/status") or {}
+    status = fleet.get_json(http, "/v1/status") or {}
     return len(status.get("backend_servers", ())) == len(SHARDS)
 
 
--- a/bench/crashes/__main__.py
+++ b/bench/crashes/__main__.py
@@ -163,9 +163,9 @@
 
 
 def _add_run(fleet: Fleet, end: float, results: Results) -> None:
-    results.ended += fleet.ends[HARMFUL]
+    results.ended += fleet.crash_counts[HARMFUL]
     results.late += fleet.late_repeats(HARMFUL)
-    results.refused += fleet.refused_innocents()
+    results.refused += fleet.count_refused_harmless()
     for token, (key, at) in fleet.asked.items():
         answer = fleet.answers.get(token)
         if key == HARMFUL:
--- a/bench/crashes/fleet.py
+++ b/bench/crashes/fleet.py
@@ -9,7 +9,7 @@
 from itertools import count
 
 from bench.crashes.faults import FaultInjection
-from bench.crashes.nodes import ONE_WAY_S, Control, Entry
+from bench.crashes.processes import ONE_WAY_S, Control, Entry
 from bench.crashes.searchers import SearcherSimulation
 from greengagemoor.codes import Code
 from greengagemoor.control.ledger import Ledger
@@ -60,7 +60,7 @@
         self.ledger.advance_time(self.now)
         self.cut_links = set()
         self.harmful = set()
-        self.ends = Counter()
+        self.crash_counts = Counter()
         self.third_crash_at = {}
         self.late_runs = {}
         self.answers = {}
@@ -197,13 +197,13 @@
         """Records the final answer to a request."""
         self.answers[msg.token] = msg
 
-    def endings(self, fingerprint):
+    def count_endings(self, fingerprint):
         """Counts requests by ending; None counts those without an answer."""
         tokens = (t for t, (key, _) in self.asked.items() if key == fingerprint)
         answers = (self.answers.get(token) for token in tokens)
         return Counter(answer and answer.ending for answer in answers)
 
-    def refused_innocents(self):
+    def count_refused_harmless(self):
         """Returns how many harmless requests were refused as suspect."""
         return sum(
             self.answers[token].ending in SUSPECT_ENDINGS
--- a/bench/crashes/searchers.py
+++ b/bench/crashes/searchers.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from bench.crashes.nodes import ANNOUNCE_INTERVAL_S, ONE_WAY_S
+from bench.crashes.processes import ANNOUNCE_INTERVAL_S, ONE_WAY_S
 from greengagemoor.feed import messages as feed
 from greengagemoor.feed.messages import SearcherRow, SearcherState
 from greengagemoor.forward import messages as m
@@ -122,8 +122,8 @@
             return
         searcher.up = False
         if fingerprint is not None:
-            self.ends[fingerprint] += 1
-            if self.ends[fingerprint] == 3:
+            self.crash_counts[fingerprint] += 1
+            if self.crash_counts[fingerprint] == 3:
                 self.third_crash_at[fingerprint] = self.now
         for (entry, generation, _), msg in searcher.running.items():
             self.end_attempt(entry, generation, msg, m.Outcome.BROKEN)
--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -19,7 +19,7 @@
 import typer
 
 from bench.gather_model import SHEETS
-from bench.gathers import Run
+from bench.gathers import GatherSimulation
 from greengagemoor.forward import selection, sending, timing
 from greengagemoor.registry import Registry
 
@@ -122,7 +122,8 @@
     policy, patches = overrides
     with override_constants(patches):
         return [
-            Run(sheet, slow, seed, **policy).play(seconds) for seed in seeds
+            GatherSimulation(sheet, slow, seed, **policy).run(seconds)
+            for seed in seeds
         ]
 
 
@@ -135,7 +136,7 @@
     of its 95% confidence interval.
     """
     differences = [
-        two.credit / max(1, two.owed) - one.credit / max(1, one.owed)
+        two.credit / max(1, two.requests) - one.credit / max(1, one.requests)
         for one, two in zip(base, other, strict=True)
     ]
     if len(differences) < 2:
@@ -151,9 +152,11 @@
 def _write_row(
     name: str, figures: list[Figures], write: Callable[[str], None]
 ) -> None:
-    credit = statistics.mean(one.credit / max(1, one.owed) for one in figures)
-    sends = sum(f.sends for f in figures) / max(
-        1, sum(f.firsts for f in figures)
+    credit = statistics.mean(
+        one.credit / max(1, one.requests) for one in figures
+    )
+    sends = sum(f.attempts for f in figures) / max(
+        1, sum(f.needed_attempts for f in figures)
     )
     write(f"{name}: credit {credit:.4f}, {sends:.3f} sends a shard")
 
--- a/bench/gather_model.py
+++ b/bench/gather_model.py
@@ -19,17 +19,17 @@
     """One kind of query; times in seconds.
 
     Attributes:
-        per_s: queries per second over all entries.
+        rate_per_s: queries per second over all entries.
         work_s: mean work time of one shard.
-        least: minimum coverage of an answer, as a share of the shards.
+        min_coverage: minimum coverage of an answer, as a share of the shards.
     """
 
     name: str
-    per_s: float
+    rate_per_s: float
     work_s: float
     objective_s: float
     deadline_s: float
-    least: float
+    min_coverage: float
 
 
 @attrs.frozen
@@ -44,10 +44,11 @@
             seconds at a time.
         slack: repeated attempts of all entries allowed in ten seconds, beside
             0.2 of the requests.
-        caller_s: part of a caller's latency outside the entry, in seconds.
+        caller_network_s: part of a caller's latency outside the entry, in
+            seconds.
         reports_slow_searchers: whether entries receive reports of searchers
             that other entries find slow.
-        leave_s: seconds from when an answer is due until it is sent.
+        answer_delay_s: seconds from when an answer is due until it is sent.
     """
 
     name: str
@@ -62,8 +63,8 @@
     noise_share: float = 0.0
     noise_factor: float = 4.0
     noise_s: float = 0.5
-    leave_s: float = 0.0
-    caller_s: float = 0.0
+    answer_delay_s: float = 0.0
+    caller_network_s: float = 0.0
     reports_slow_searchers: bool = False
 
 
@@ -138,8 +139,8 @@
         pause_s=0.25,
         pause_every_s=6.0,
         slack=422.0,
-        leave_s=0.006,
-        caller_s=0.012,
+        answer_delay_s=0.006,
+        caller_network_s=0.012,
         reports_slow_searchers=True,
     ),
 )
--- a/bench/gathers.py
+++ b/bench/gathers.py
@@ -56,31 +56,33 @@
     """Results of a run.
 
     Attributes:
-        owed: requests after the warm-up.
+        requests: requests after the warm-up.
         in_time: answers within the objective.
         whole: answers that include all shards.
         credit: sum over answers of the squared coverage, reduced if late.
-        sends: attempts.
-        firsts: shards of all requests, each of which needs one attempt.
+        attempts: attempts.
+        needed_attempts: shards of all requests, each of which needs one
+            attempt.
     """
 
-    owed: int = 0
+    requests: int = 0
     in_time: int = 0
     whole: int = 0
     credit: float = 0.0
-    sends: int = 0
-    firsts: int = 0
+    attempts: int = 0
+    needed_attempts: int = 0
 
     def format_row(self) -> str:
         """Returns a row of the table."""
-        owed = max(1, self.owed)
+        requests = max(1, self.requests)
         return (
-            f"{self.credit / owed:.3f} {self.in_time / owed:.3f}"
-            f" {self.whole / owed:.3f} {self.sends / max(1, self.firsts):.3f}"
+            f"{self.credit / requests:.3f} {self.in_time / requests:.3f}"
+            f" {self.whole / requests:.3f}"
+            f" {self.attempts / max(1, self.needed_attempts):.3f}"
         )
 
 
-class Run:
+class GatherSimulation:
     """A simulation of one sheet with one policy and one seed."""
 
     def __init__(
@@ -126,7 +128,7 @@
             rank=1,
             attempts=2,
             split=(),
-            gather=Gather(self._service_names(), 10, kind.least),
+            gather=Gather(self._service_names(), 10, kind.min_coverage),
         )
 
     def _make_searchers(self, slow_share: float) -> dict[str, ModelSearcher]:
@@ -140,13 +142,13 @@
                     one.slow_start, one.slow_end = 10.0, 20.0
         return searchers
 
-    def play(self, seconds: float = 30.0) -> Figures:
+    def run(self, seconds: float = 30.0) -> Figures:
         """Runs the simulation; returns the results after the warm-up."""
         self._set_up_entries()
         for route, kind in zip(self._routes, self.sheet.kinds, strict=True):
             time = 0.0
             while time < seconds:
-                time += self.rng.expovariate(kind.per_s)
+                time += self.rng.expovariate(kind.rate_per_s)
                 self._schedule(
                     time, self._receive_request, route, kind, time > WARM_UP_S
                 )
@@ -191,8 +193,8 @@
         token = next(self._ids)
         self._requests[token] = (kind, counted)
         if counted:
-            self.figures.owed += 1
-            self.figures.firsts += self.sheet.shards
+            self.figures.requests += 1
+            self.figures.needed_attempts += self.sheet.shards
         msg = m.Arrived(token, str(token), route, kind.deadline_s)
         self._step(now, entry, [msg])
 
@@ -216,7 +218,7 @@
         if isinstance(msg, m.StartAttempt):
             key = (index, msg.attempt_id)
             kind, counted = self._requests[msg.token]
-            self.figures.sends += counted
+            self.figures.attempts += counted
             self._work_s[key] = self._draw_work(kind)
             self._schedule(
                 now + ONE_WAY_S, self._receive_attempt, key, msg.searcher_id
@@ -231,7 +233,7 @@
             self._collect_slow_report(now, index, msg.searcher)
         elif isinstance(msg, m.Respond):
             self._record_answer(msg)
-            sent_at = now + self.sheet.leave_s
+            sent_at = now + self.sheet.answer_delay_s
             self._schedule(sent_at, self._report_delay, index, msg.due_at)
 
     def _report_delay(self, now: float, index: int, due_at: float) -> None:
@@ -323,7 +325,7 @@
         if not counted or msg.merged is None:
             return
         share = 1.0 - msg.merged.missing / self.sheet.shards
-        outside_s = self.sheet.caller_s + self.sheet.leave_s
+        outside_s = self.sheet.caller_network_s + self.sheet.answer_delay_s
         in_time = msg.elapsed_s + outside_s <= kind.objective_s
         self.figures.in_time += in_time
         self.figures.whole += not msg.merged.missing
@@ -346,7 +348,9 @@
     for sheet in SHEETS:
         for load, share in SLOW_SHARES.items():
             for name, changes in POLICIES.items():
-                figures = Run(sheet, share, seed=1, **changes).play()
+                figures = GatherSimulation(
+                    sheet, share, seed=1, **changes
+                ).run()
                 print(f"{sheet.name} {load} {name}: {figures.format_row()}")
 
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -16,8 +16,12 @@
     measure_documents,
     measure_restarts,
 )
-from bench.fits import print_fit
-from bench.many import GOSSIP_INTERVAL_S, MembershipModel, make_server_row
+from bench.linear_fit import print_fit
+from bench.membership_model import (
+    GOSSIP_INTERVAL_S,
+    MembershipModel,
+    make_server_row,
+)
 from greengagemoor.membership.rows import ServerRow
 from greengagemoor.membership.table import Table
 from greengagemoor.wire import codec
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -7,7 +7,7 @@
 import tempfile
 from pathlib import Path
 
-from examples.fleet import EXAMPLES, Fleet, free_addresses, wait_for
+from examples.fleet import EXAMPLES_FOLDER, Fleet, free_addresses, wait_for
 
 SHARDS = {
     "searcher-1": "0,1,2,3",
@@ -31,9 +31,9 @@
     entries = {"entry-1": ports[2:4], "entry-2": ports[4:6]}
     start_instances(fleet, ports[0:2], entries)
     print_progress("processes started; waiting for the control group")
-    wait_for("a leader", lambda: leads(fleet, control_http))
-    applied = fleet.ctl(
-        "apply", str(EXAMPLES / "contracts.json"), "--at", control_http
+    wait_for("a leader", lambda: is_leader(fleet, control_http))
+    applied = fleet.run_ctl(
+        "apply", str(EXAMPLES_FOLDER / "contracts.json"), "--at", control_http
     )
     print_progress(f"document applied: {json.loads(applied.stdout)}")
     start_searchers(fleet, entries, ports[6:9])
@@ -41,10 +41,10 @@
         "all searchers on both entries",
         lambda: all_searchers_known(fleet, entries),
     )
-    found = fleet.get(ports[2], "/v1/addresses?service=contracts")
+    found = fleet.get_json(ports[2], "/v1/addresses?service=contracts")
     print_progress(f"addresses: {found}")
     first = found["addresses"][0]["http_address"]
-    asked = fleet.ctl(
+    asked = fleet.run_ctl(
         "request", "contracts", "lookup", "--body", '{"pump": 7}', "--at", first
     )
     return json.loads(asked.stdout)
@@ -83,15 +83,15 @@
         fleet.start_searcher(name, address, entries=known, shards=shards)
 
 
-def leads(fleet: Fleet, http: str) -> bool:
+def is_leader(fleet: Fleet, http: str) -> bool:
     """Whether a control instance leads its group."""
-    return (fleet.get(http, "/v1/members") or {}).get("role") == "leader"
+    return (fleet.get_json(http, "/v1/members") or {}).get("role") == "leader"
 
 
 def all_searchers_known(fleet: Fleet, entries: dict) -> bool:
     """Whether every entry is ready and lists every searcher."""
     statuses = [
-        fleet.get(http, "/v1/status") or {} for http, _ in entries.values()
+        fleet.get_json(http, "/v1/status") or {} for http, _ in entries.values()
     ]
     return all(
         status.get("state") == "ready"
--- a/examples/fleet.py
+++ b/examples/fleet.py
@@ -14,7 +14,7 @@
 
 import urllib3
 
-EXAMPLES = Path(__file__).parent
+EXAMPLES_FOLDER = Path(__file__).parent
 WAIT_TIMEOUT_S = 40.0
 POLL_INTERVAL_S = 0.05
 STOP_TIMEOUT_S = 30.0
@@ -77,7 +77,7 @@
             for key, value in options.items()
             for part in (f"--{key.replace('_', '-')}", str(value))
         ]
-        script = str(EXAMPLES / "searcher.py")
+        script = str(EXAMPLES_FOLDER / "searcher.py")
         self._start(name, script, name, address, *arguments)
 
     def _start(self, name: str, *arguments: str) -> None:
@@ -98,7 +98,7 @@
         self.processes[name].kill()
         self.processes[name].wait()
 
-    def ctl(self, *arguments: str) -> subprocess.CompletedProcess:
+    def run_ctl(self, *arguments: str) -> subprocess.CompletedProcess:
         """Runs ``greengagemoorctl``."""
         return subprocess.run(
             [sys.executable, "-m", "greengagemoor.cmd.ctl", *arguments],
@@ -107,11 +107,11 @@
             check=False,
         )
 
-    def get(self, address: str, path: str) -> Any:
+    def get_json(self, address: str, path: str) -> Any:
         """Returns the JSON of a GET, or None without a JSON answer."""
-        return self.call("GET", address, path)
+        return self.call_json("GET", address, path)
 
-    def call(self, method: str, address: str, path: str, body=None) -> Any:
+    def call_json(self, method: str, address: str, path: str, body=None) -> Any:
         """Returns the JSON of a request, or None without a JSON answer."""
         data = None if body is None else json.dumps(body)
         try:
--- a/greengagemoor/forward/arrivals.py
+++ b/greengagemoor/forward/arrivals.py
@@ -60,7 +60,7 @@
     now = tables.now
     waited = 0.0
     overhead = _caller_overhead_s(tables, msg)
-    ends_at = now + route.time_limit_s - END_MARGIN_S
+    deadline = now + route.time_limit_s - END_MARGIN_S
     if msg.remaining_wait_s is not None:
         # A caller that retries sends a shorter deadline than others on this
         # route; the difference is the time that it has already waited.
@@ -70,7 +70,7 @@
         )
         tables.max_remaining_wait_s[route.name] = longest
         waited = longest - msg.remaining_wait_s
-        ends_at = min(ends_at, now + msg.remaining_wait_s - overhead / 2)
+        deadline = min(deadline, now + msg.remaining_wait_s - overhead / 2)
     left = route.objective_s - waited - overhead
     left -= tables.answer_delay.margin_s(route.objective_s)
     if left <= 0:
@@ -82,8 +82,8 @@
         request_id=msg.request_id,
         route=route,
         arrived_at=now,
-        soft_deadline=min(ends_at, now + left),
-        deadline=ends_at,
+        soft_deadline=min(deadline, now + left),
+        deadline=deadline,
         fingerprint=msg.fingerprint,
     )
     request.legs = [Leg(request, name) for name in _services(tables, route)]
--- a/soak/daemons.py
+++ b/soak/daemons.py
@@ -7,7 +7,7 @@
 import tempfile
 from pathlib import Path
 
-from examples.fleet import EXAMPLES, Fleet, free_addresses, wait_for
+from examples.fleet import EXAMPLES_FOLDER, Fleet, free_addresses, wait_for
 
 CONTROLS = ("control-1", "control-2", "control-3")
 ENTRIES = ("entry-1", "entry-2")
@@ -84,7 +84,7 @@
 
     def _leader(self) -> str:
         for name in CONTROLS:
-            status = self._fleet.get(self._http[name], "/v1/members") or {}
+            status = self._fleet.get_json(self._http[name], "/v1/members") or {}
             if status.get("role") == "leader":
                 return name
         return ""
@@ -99,7 +99,7 @@
 
     def _apply(self, build: str) -> None:
         """Applies a document with the ``greengagemoorctl`` of a build."""
-        document = json.loads((EXAMPLES / "contracts.json").read_text())
+        document = json.loads((EXAMPLES_FOLDER / "contracts.json").read_text())
         document["connection_places"] = 10 + self._version
         path = self._fleet.folder / "document.json"
         path.write_text(json.dumps(document))
@@ -120,7 +120,7 @@
                 ("book-crew", "--key", "a", "--not-repeatable"),
             ):
                 at = self._http[name]
-                done = self._fleet.ctl(
+                done = self._fleet.run_ctl(
                     "request", "contracts", *arguments, "--at", at
                 )
                 if json.loads(done.stdout or "{}").get("code") != CODE_WHOLE:
@@ -130,7 +130,7 @@
 
     def _are_all_searchers_known(self) -> bool:
         statuses = (
-            self._fleet.get(self._http[name], "/v1/status") or {}
+            self._fleet.get_json(self._http[name], "/v1/status") or {}
             for name in ENTRIES
         )
         return all(
@@ -141,7 +141,7 @@
 
     def _ctl(self, *arguments: str) -> dict:
         at = self._http[wait_for("a leader", self._leader)]
-        done = self._fleet.ctl(*arguments, "--at", at)
+        done = self._fleet.run_ctl(*arguments, "--at", at)
         return json.loads(done.stdout or "{}")
 
 
--- a/tests/test_aio/test_client.py
+++ b/tests/test_aio/test_client.py
@@ -16,10 +16,10 @@
     return lambda headers: (b"Id", request_id) in headers
 
 
-async def ask(pool, address, is_mine=lambda _: True, data=GET):
+async def ask(pool, address, matches_request=lambda _: True, data=GET):
     """Sends one request and returns the response or failure."""
     fut = asyncio.get_running_loop().create_future()
-    pool.send(address, data, fut.set_result, is_mine)
+    pool.send(address, data, fut.set_result, matches_request)
     return await fut
 
 
--- a/tests/test_bench/test_experiment.py
+++ b/tests/test_bench/test_experiment.py
@@ -16,7 +16,7 @@
 
 
 def figures(credit, owed=100):
-    return Figures(owed=owed, credit=credit)
+    return Figures(requests=owed, credit=credit)
 
 
 class TestCompare:
@@ -67,4 +67,4 @@
         base = run_variant("lockers", 0.35, range(1, 2), 6.0, ({}, []))
         overrides = mechanisms.get("second-sends")()
         other = run_variant("lockers", 0.35, range(1, 2), 6.0, overrides)
-        assert other[0].sends < base[0].sends
+        assert other[0].attempts < base[0].attempts
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -5,7 +5,7 @@
 import pytest
 
 from examples import demo, embed_membership
-from examples.fleet import EXAMPLES, Fleet
+from examples.fleet import EXAMPLES_FOLDER, Fleet
 from greengagemoor.document import parse_document
 
 
@@ -35,7 +35,7 @@
         ("name", "searchers"), [("atlas", 85), ("darling-downs", 83)]
     )
     def test_valid_and_of_the_right_size(self, name, searchers):
-        path = EXAMPLES / "documents" / f"{name}.json"
+        path = EXAMPLES_FOLDER / "documents" / f"{name}.json"
         document = parse_document(path.read_text())
         found = sum(len(s.backend_servers) for s in document.services)
         assert found == searchers
--- a/tests/test_forward/test_crashing_requests.py
+++ b/tests/test_forward/test_crashing_requests.py
@@ -60,8 +60,8 @@
         """The first arrival ends one searcher per shard, the trial one more."""
         fleet = Fleet(seed=seed)
         send_harmful(fleet, gather_route(fleet.services))
-        assert fleet.ends[HARMFUL] <= len(fleet.services) + 2
-        assert fleet.endings(HARMFUL)[Ending.NOT_RUN_QUARANTINED] > 20
+        assert fleet.crash_counts[HARMFUL] <= len(fleet.services) + 2
+        assert fleet.count_endings(HARMFUL)[Ending.NOT_RUN_QUARANTINED] > 20
 
     def test_other_requests_are_served(self):
         fleet = Fleet()
@@ -89,15 +89,15 @@
         for _ in range(4):
             fleet.ask(HARMFUL, gather_route(fleet.services))
             fleet.run(4.0)
-        assert fleet.endings(HARMFUL)[Ending.NOT_RUN_QUARANTINED] == 2
+        assert fleet.count_endings(HARMFUL)[Ending.NOT_RUN_QUARANTINED] == 2
 
     def check_refused(self, fleet, entry=None):
-        before = fleet.ends[HARMFUL]
+        before = fleet.crash_counts[HARMFUL]
         token = fleet.ask(HARMFUL, gather_route(fleet.services), entry)
         fleet.run(2.0)
         ending = fleet.answers[token].ending
         assert ending is Ending.NOT_RUN_QUARANTINED
-        assert fleet.ends[HARMFUL] == before
+        assert fleet.crash_counts[HARMFUL] == before
 
     def test_all_processes_killed(self):
         fleet = Fleet()
@@ -145,7 +145,7 @@
         fleet = Fleet()
         send_harmful(fleet, gather_route(fleet.services), 1200.0, (60.0, 180.0))
         assert fleet.late_repeats(HARMFUL) <= MAX_LATE_REPEATS
-        assert fleet.ends[HARMFUL] <= len(fleet.services) + 2
+        assert fleet.crash_counts[HARMFUL] <= len(fleet.services) + 2
 
     def test_operator_clears_quarantine(self):
         fleet = Fleet()
@@ -186,7 +186,7 @@
     def test_third_of_all_searchers_ends_repeatedly(self, seed):
         fleet = Fleet(seed=seed)
         ask_many(fleet, 12.0, crash_every=2.5)
-        assert fleet.refused_innocents() == 0
+        assert fleet.count_refused_harmless() == 0
         before = set(fleet.answers)
         ask_many(fleet, 2.0)
         endings = {
@@ -219,7 +219,7 @@
         for _ in range(12):
             fleet.ask(HARMFUL, gather_route(fleet.services))
             ask_many(fleet, 1.0)
-        assert fleet.refused_innocents() == 0
+        assert fleet.count_refused_harmless() == 0
 
     def test_the_same_path_with_another_body(self):
         """The two requests differ only in their fingerprint."""
--- a/tests/test_forward/test_load.py
+++ b/tests/test_forward/test_load.py
@@ -6,7 +6,7 @@
 import pytest
 
 from bench.gather_model import SHEETS
-from bench.gathers import Run
+from bench.gathers import GatherSimulation
 from greengagemoor.forward import answer_delay, selection, timing
 
 SECONDS = 16.0
@@ -15,7 +15,7 @@
     entries=26,
     shards=12,
     kinds=tuple(
-        attrs.evolve(kind, per_s=kind.per_s / 3, least=0.9)
+        attrs.evolve(kind, rate_per_s=kind.rate_per_s / 3, min_coverage=0.9)
         for kind in SHEETS[1].kinds
     ),
     slack=65.0,
@@ -25,8 +25,11 @@
 
 def share_of_credit(**policy):
     """Returns the mean share of credit over two seeds with slow searchers."""
-    runs = [Run(SMALL, 0.15, seed, **policy).play(SECONDS) for seed in (1, 2)]
-    return sum(one.credit / one.owed for one in runs) / len(runs)
+    runs = [
+        GatherSimulation(SMALL, 0.15, seed, **policy).run(SECONDS)
+        for seed in (1, 2)
+    ]
+    return sum(one.credit / one.requests for one in runs) / len(runs)
 
 
 class TestSlowSearchers:
@@ -56,16 +59,18 @@
         Guards against answers without a shard while only a third of the
         allowance is used.
         """
-        figures = Run(SMALL, 0.0, seed=3).play(SECONDS)
-        ratio_only = Run(SMALL, 0.0, seed=3, retry_slack=0.0).play(SECONDS)
+        figures = GatherSimulation(SMALL, 0.0, seed=3).run(SECONDS)
+        ratio_only = GatherSimulation(SMALL, 0.0, seed=3, retry_slack=0.0).run(
+            SECONDS
+        )
         assert figures.credit > 1.01 * ratio_only.credit
 
     @pytest.mark.parametrize("slow_share", [0.0, 0.15])
     def test_allowance_is_kept(self, slow_share):
-        figures = Run(SMALL, slow_share, seed=3).play(SECONDS)
+        figures = GatherSimulation(SMALL, slow_share, seed=3).run(SECONDS)
         windows = (SECONDS - 5.0) / 10.0
         slack = 0.85 * SMALL.slack * SMALL.shards * (windows + 1)
-        assert figures.sends <= 1.17 * figures.firsts + slack
+        assert figures.attempts <= 1.17 * figures.needed_attempts + slack
 
 
 class TestFewFastSearchers:
@@ -83,8 +88,11 @@
         seeds = (1, 2, 3)
 
         def credit():
-            runs = [Run(self.SHEET, 0.35, seed).play(20.0) for seed in seeds]
-            return sum(one.credit / one.owed for one in runs) / len(runs)
+            runs = [
+                GatherSimulation(self.SHEET, 0.35, seed).run(20.0)
+                for seed in seeds
+            ]
+            return sum(one.credit / one.requests for one in runs) / len(runs)
 
         now = credit()
         own_queue = selection._queue
@@ -108,13 +116,13 @@
     earns a tenth.
     """
 
-    SHEET = attrs.evolve(SMALL, caller_s=0.012)
-    BUSY = attrs.evolve(SHEET, leave_s=0.015)
+    SHEET = attrs.evolve(SMALL, caller_network_s=0.012)
+    BUSY = attrs.evolve(SHEET, answer_delay_s=0.015)
 
     def test_answers_are_written_in_time(self, monkeypatch):
-        figures = Run(self.BUSY, 0.15, seed=1).play(SECONDS)
+        figures = GatherSimulation(self.BUSY, 0.15, seed=1).run(SECONDS)
         monkeypatch.setattr(answer_delay, "MAX_SHARE_OF_OBJECTIVE", 0.0)
-        before = Run(self.BUSY, 0.15, seed=1).play(SECONDS)
-        whole = Run(self.SHEET, 0.15, seed=1).play(SECONDS)
+        before = GatherSimulation(self.BUSY, 0.15, seed=1).run(SECONDS)
+        whole = GatherSimulation(self.SHEET, 0.15, seed=1).run(SECONDS)
         assert figures.credit > before.credit
         assert figures.credit > 0.97 * whole.credit
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from examples.fleet import EXAMPLES, Fleet, free_addresses, wait_for
+from examples.fleet import EXAMPLES_FOLDER, Fleet, free_addresses, wait_for
 
 SHARDS = {
     "searcher-1": "0,1,2,3",
@@ -52,8 +52,10 @@
                 **own,
             )
         wait_for("a whole group", self.group_is_whole)
-        document = str(EXAMPLES / "contracts.json")
-        applied = fleet.ctl("apply", document, "--at", self.http["control-1"])
+        document = str(EXAMPLES_FOLDER / "contracts.json")
+        applied = fleet.run_ctl(
+            "apply", document, "--at", self.http["control-1"]
+        )
         assert applied.returncode == 0, applied.stdout + applied.stderr
         for name, shards in SHARDS.items():
             fleet.start_searcher(
@@ -71,7 +73,7 @@
     def leader(self, voters: int = 2) -> str:
         """Returns the leader that reports so many live voters, or ''."""
         for name in CONTROLS:
-            status = self.fleet.get(self.http[name], "/v1/members") or {}
+            status = self.fleet.get_json(self.http[name], "/v1/members") or {}
             alive = [
                 m
                 for m in status.get("members", ())
@@ -83,14 +85,14 @@
 
     def is_ready(self, entry: str) -> bool:
         """Whether an entry is ready and has received all searchers."""
-        status = self.fleet.get(self.http[entry], "/v1/status") or {}
+        status = self.fleet.get_json(self.http[entry], "/v1/status") or {}
         ready = status.get("state") == "ready" and status["control_ready"]
         return ready and len(status["backend_servers"]) == len(SHARDS)
 
     def behave(self, **fields) -> None:
         """Changes the behaviour of all searchers."""
         for name in SHARDS:
-            self.fleet.call("POST", self.http[name], "/behaviour", fields)
+            self.fleet.call_json("POST", self.http[name], "/behaviour", fields)
 
     def ask(self, entry: str, **fields):
         """Sends a lookup; returns the JSON answer, or None without one."""
@@ -101,7 +103,7 @@
             **fields,
         }
         path = "/v1/services/contracts/requests"
-        return self.fleet.call("POST", self.http[entry], path, body)
+        return self.fleet.call_json("POST", self.http[entry], path, body)
 
     def book(self, entry: str, request_id: str, **fields):
         """Sends a booking; returns the JSON answer."""
@@ -116,7 +118,7 @@
 
     def runs(self, request_id: str) -> int:
         """Returns how often searchers ran a request."""
-        replies = [self.fleet.get(self.http[n], "/runs") for n in SHARDS]
+        replies = [self.fleet.get_json(self.http[n], "/runs") for n in SHARDS]
         return sum(reply["runs"].get(request_id, 0) for reply in replies)
 
 
@@ -178,7 +180,7 @@
         assert held is None or held["code"] in (100, 202)
         process = site.fleet.processes["entry-2"]
         assert process.wait(30) == 0
-        found = site.fleet.get(
+        found = site.fleet.get_json(
             site.http["entry-1"], "/v1/addresses?service=contracts"
         )
         assert [a["instance"] for a in found["addresses"]] == ["entry-1"]
@@ -214,36 +216,36 @@
         The leader is frozen, the others elect a new one and accept a change.
         When the old leader resumes, it must not act as leader.
         """
-        document = str(EXAMPLES / "contracts.json")
+        document = str(EXAMPLES_FOLDER / "contracts.json")
         frozen = site.leader()
         site.fleet.signal(frozen, signal.SIGSTOP)
         others = [name for name in CONTROLS if name != frozen]
         at = site.http[others[0]]
         wait_for("a new leader", lambda: site.leader() in others)
-        applied = site.fleet.ctl("apply", document, "--at", at)
+        applied = site.fleet.run_ctl("apply", document, "--at", at)
         assert applied.returncode == 0, applied.stdout
         site.fleet.signal(frozen, signal.SIGCONT)
         wait_for("a whole group", site.group_is_whole)
-        shown = site.fleet.get(site.http[frozen], "/v1/document")
+        shown = site.fleet.get_json(site.http[frozen], "/v1/document")
         assert shown["version"] == 2
 
         def in_force() -> bool:
             statuses = [
-                site.fleet.get(site.http[e], "/v1/status") for e in ENTRIES
+                site.fleet.get_json(site.http[e], "/v1/status") for e in ENTRIES
             ]
             return all(s["document_version"] == 2 for s in statuses)
 
         wait_for("the change at every entry", in_force)
 
     def test_kill_9_of_all_control_instances(self, site):
-        version = site.fleet.get(site.http["control-1"], "/v1/document")
+        version = site.fleet.get_json(site.http["control-1"], "/v1/document")
         for name in CONTROLS:
             site.fleet.kill(name)
         assert site.ask("entry-1")["code"] == 100
         for name in CONTROLS:
             site.fleet.restart_instance(name)
         wait_for("a whole group", site.group_is_whole)
-        shown = site.fleet.get(site.http["control-2"], "/v1/document")
+        shown = site.fleet.get_json(site.http["control-2"], "/v1/document")
         assert shown == version
 
     def test_lost_folder_joins_again_under_a_new_identity(self, site):
@@ -255,7 +257,9 @@
             file.unlink()
         site.fleet.restart_instance(lost)
         wait_for("a whole group", site.group_is_whole)
-        members = site.fleet.ctl("members", "--at", site.http[site.leader()])
+        members = site.fleet.run_ctl(
+            "members", "--at", site.http[site.leader()]
+        )
         assert members.stdout.count(f'"{lost}"') == 1
         assert '"spare": 1' in members.stdout
 
@@ -294,7 +298,7 @@
                 control_group=[{"instance": "c1", "address": peer}],
                 new_group=True,
             )
-            wait_for("c1", lambda: fleet.get(http, "/v1/members"))
+            wait_for("c1", lambda: fleet.get_json(http, "/v1/members"))
             process = fleet.processes["c1"]
             for _ in range(3000):
                 process.send_signal(signal.SIGTERM)
