--- a/bench/entry_costs.py
+++ b/bench/entry_costs.py
@@ -34,7 +34,7 @@
 
 
 class _Searcher:
-    def take(self, req):
+    def handle_request(self, req):
         headers = (
             (b"Server-Stamp", b"1f.18.51a.0.73208fabce0b820a"),
             (b"Server-Load", b"1,0,5"),
@@ -43,7 +43,7 @@
         )
         req.conn.reply(req, 200, headers, BODY)
 
-    def gone(self, req):
+    def handle_disconnect(self, req):
         pass
 
 
@@ -54,7 +54,7 @@
             await HttpServer(address, _Searcher(), Limits()).start()
         await asyncio.sleep(600)
 
-    log.set_up("ERROR", "bench")
+    log.configure_loguru("ERROR", "bench")
     asyncio.run(main())
 
 
@@ -141,7 +141,7 @@
 
 def main() -> None:
     """Runs the searchers and prints the costs of the entry."""
-    log.set_up("ERROR", "bench")
+    log.configure_loguru("ERROR", "bench")
     process = multiprocessing.Process(target=_run_searchers, daemon=True)
     process.start()
     time.sleep(1.0)
--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -25,8 +25,8 @@
     ),
     Mutant(
         "one snapshot",
-        "query/endings.py",
-        "    query.reflected.clear()\n",
+        "query/completing.py",
+        "    query.results.clear()\n",
         "",
         (QUERY + "test_snapshots.py::TestOneSnapshot",),
     ),
@@ -54,7 +54,8 @@
     Mutant(
         "own answer: rivals",
         "query/requests.py",
-        "owner = None if query.cls.share_answers else request.caller",
+        "owner = None if query.request_class_rules.share_answers else "
+        "request.caller",
         "owner = None",
         (QUERY + "test_outcomes.py::TestOwnAnswer",),
     ),
@@ -75,7 +76,7 @@
     ),
     Mutant(
         "given up at once",
-        "query/endings.py",
+        "query/completing.py",
         "    elif not _has_pending_attempt(query) and not _has_holder(query):",
         "    elif False:",
         (QUERY + "test_outcomes.py::TestGivenUp",),
@@ -98,7 +99,7 @@
     ),
     Mutant(
         "spike: fair turns",
-        "query/fairqueue.py",
+        "query/fair_queue.py",
         "        lane.setdefault(query.request.caller, deque()).append(query)",
         '        lane.setdefault("", deque()).append(query)',
         (QUERY + "test_admission.py",),
@@ -112,7 +113,7 @@
     ),
     Mutant(
         "hedges off under overload",
-        "query/placing.py",
+        "query/placement.py",
         "    if not query.service.is_overloaded:\n        _start_hedges",
         "    if True:\n        _start_hedges",
         (QUERY + "test_outcomes.py::TestExtraWork",),
@@ -225,7 +226,7 @@
     ),
     Mutant(
         "at most once: frozen past the claim's end",
-        "query/placing.py",
+        "query/placement.py",
         "    if state.now >= query.send_before:",
         "    if False:",
         (QUERY + "test_claims.py",),
@@ -235,14 +236,14 @@
         "query/requests.py",
         "    if not state.control_ready:",
         "    if False:",
-        (MEMBERSHIP + "test_cuts.py::TestStaleEntry",),
+        (MEMBERSHIP + "test_partitions.py::TestStaleEntry",),
     ),
     Mutant(
         "restarted entry reads from a quorum",
         "membership/state.py",
         "return 0 <= self.read_version <= self.document_version",
         "return self.document_version > 0",
-        (MEMBERSHIP + "test_cuts.py::TestStaleEntry",),
+        (MEMBERSHIP + "test_partitions.py::TestStaleEntry",),
     ),
     Mutant(
         "announcements: order",
@@ -253,25 +254,25 @@
     ),
     Mutant(
         "announcements: silence",
-        "membership/wards.py",
+        "membership/server_watch.py",
         "    _mark_lost(state, key)\n    return None",
         "    return None",
         (MEMBERSHIP + "test_announcements.py::TestSilence",),
     ),
     Mutant(
         "announcements: guardians die together",
-        "membership/wards.py",
+        "membership/server_watch.py",
         "            state.hidden.add(key)\n",
         "",
         (MEMBERSHIP + "test_announcements.py::TestSilence",),
     ),
     Mutant(
         "cuts: a guardian overrules lost",
-        "membership/wards.py",
+        "membership/server_watch.py",
         "        _overrule_loss(state, row)\n",
         "        pass\n",
         (
-            MEMBERSHIP + "test_cuts.py",
+            MEMBERSHIP + "test_partitions.py",
             MEMBERSHIP + "test_state_machine.py",
         ),
     ),
@@ -280,7 +281,7 @@
         "membership/gossip.py",
         "        _probe_lost(state)\n",
         "        pass\n",
-        (MEMBERSHIP + "test_cuts.py", MEMBERSHIP + "test_addresses.py"),
+        (MEMBERSHIP + "test_partitions.py", MEMBERSHIP + "test_addresses.py"),
     ),
     Mutant(
         "drain is final within an incarnation",
@@ -327,21 +328,22 @@
     Mutant(
         "joining: told who leads",
         "control/joining.py",
-        "    meet(state, {m.instance: m.address for m in msg.members})\n",
+        "    add_contacts(state, {m.instance: m.address for m in "
+        "msg.members})\n",
         "",
         (JOINING,),
     ),
     Mutant(
         "joining: changed settings arrive",
         "control/decider.py",
-        "            joining.take_seeds(state, msg)",
+        "            joining.replace_peers(state, msg)",
         "            pass",
         (JOINING,),
     ),
     Mutant(
         "joining: whoever sends what members send is asked",
         "control/decider.py",
-        "            self.meet({msg.sender: msg.address})",
+        "            self.add_contacts({msg.sender: msg.address})",
         "            pass",
         (JOINING + "::TestSettingsNameOnlyItself",),
     ),
@@ -403,10 +405,10 @@
     ),
     Mutant(
         "founding: kept with the folder",
-        "serving/durable.py",
+        "serving/durable_state.py",
         "if configured is not None and folder.is_new:",
         "if False:",
-        ("tests/test_serving/test_durable.py",),
+        ("tests/test_serving/test_durable_state.py",),
     ),
     Mutant(
         "repair: a leader's own dead vote",
@@ -418,7 +420,7 @@
     Mutant(
         "who is gone is dialled no more",
         "aio/links.py",
-        "for address in set(self._wanted) - addresses:",
+        "for address in set(self.dial_tasks_by_address) - addresses:",
         "for address in ():",
         ("tests/test_aio/test_links.py",),
     ),
@@ -438,15 +440,15 @@
     ),
     Mutant(
         "starts: few are asked in a round",
-        "feed/reads.py",
+        "feed/document_reads.py",
         "asked = (others[start:] + others[:start])[:OTHERS_PER_ROUND]",
         "asked = others",
-        (FEED + "test_reads.py",),
+        (FEED + "test_document_reads.py",),
     ),
     Mutant(
         "answers leave in time",
         "forward/arrivals.py",
-        "left -= tables.leaving.margin_s(route.objective_s)",
+        "left -= tables.answer_delay.margin_s(route.objective_s)",
         "pass",
         ("tests/test_forward/test_load.py",),
     ),
@@ -480,7 +482,7 @@
     ),
     Mutant(
         "ends: an answer clears",
-        "forward/ended.py",
+        "forward/attempt_end.py",
         "if tables.suspects.changes and is_good(msg.answer):",
         "if False:",
         (FORWARD + "test_crashing_requests.py::TestInnocent",),
@@ -488,28 +490,33 @@
     Mutant(
         "ends: repeats wait for an answer",
         "forward/completion.py",
-        "elif request.is_unproved and not (leg.attempts or leg.waiting):",
+        "elif request.needs_first_answer and not (leg.attempts or "
+        "leg.waiting):",
         "elif False:",
-        (FORWARD + "test_proof.py",),
+        (FORWARD + "test_retry_deferral.py",),
     ),
     Mutant(
         "ends: entries know before they serve",
         "feed/hub.py",
-        "self.suspects.tell(sender, is_entry=bool(msg.address))",
+        "self.suspects.rows_message(\n"
+        "            sender, is_entry=bool(msg.address)\n"
+        "        )",
         "[]",
         (FEED + "test_suspects.py",),
     ),
     Mutant(
         "ends: kept over a kill of everything",
-        "serving/keeping.py",
-        "        hub.suspects.begin_with(durable.kept_suspects())\n",
+        "serving/hub_storage.py",
+        "        hub.suspects.restore(durable.load_suspects())\n",
         "",
-        ("tests/test_serving/test_durable.py",),
+        ("tests/test_serving/test_durable_state.py",),
     ),
     Mutant(
         "ends: a control instance that lost its disk is told",
         "feed/view.py",
-        "            self._out += spread.tell(self._suspects, msg.name)\n",
+        "            self._out += suspect_distribution.rows_message(\n"
+        "                self._suspects, msg.name\n"
+        "            )\n",
         "",
         (FEED + "test_suspects.py",),
     ),
@@ -530,7 +537,7 @@
     Mutant(
         "trials: unused grants go back",
         "forward/trials.py",
-        "    tables.out.append(TrialUnused(trial.wanted))\n",
+        "    tables.out.append(ReleaseTrialClaim(trial.last_claim))\n",
         "",
         (FORWARD + "test_trials.py",),
     ),
--- a/greengagemoor/application.py
+++ b/greengagemoor/application.py
@@ -13,23 +13,23 @@
 from greengagemoor.control.client import Done
 from greengagemoor.control.decider import ControlDecider
 from greengagemoor.control.state import Timing as ControlTiming
-from greengagemoor.events import Events
+from greengagemoor.events import EventListeners
 from greengagemoor.membership import messages as membership
 from greengagemoor.membership.decider import MembershipDecider
 from greengagemoor.membership.rows import InstanceRow, InstanceState, hash64
 from greengagemoor.membership.state import Timing as MembershipTiming
 from greengagemoor.metrics import Metrics
-from greengagemoor.node import CloseEntry, Node, StartUp
+from greengagemoor.node import Node, RejectNewRequests, StartUp
 from greengagemoor.query import messages as query
 from greengagemoor.query.decider import QueryDecider
-from greengagemoor.shell import notes, routes, status
+from greengagemoor.shell import event_log, routes, status
+from greengagemoor.shell.attempt_dispatch import AttemptDispatcher
 from greengagemoor.shell.clock import Clock
 from greengagemoor.shell.disk import DiskWriter
-from greengagemoor.shell.dispatch import Dispatcher
 from greengagemoor.shell.http_server import HttpServer
-from greengagemoor.shell.loop import TickLoop
 from greengagemoor.shell.peers import PeerTransport
-from greengagemoor.shell.replies import Replies
+from greengagemoor.shell.replies import PendingReplies
+from greengagemoor.shell.tick_loop import TickLoop
 from greengagemoor.storage.folder import DataFolder
 from greengagemoor.storage.store import Store
 
@@ -59,10 +59,10 @@
         self.cfg = cfg
         self.clock = Clock()
         self.metrics = Metrics()
-        self.events = Events()
+        self.events = EventListeners()
         self.routes = list(routes.ROUTES)
-        self.gate = threading.Semaphore(cfg.waiting_requests)
-        self._replies = Replies()
+        self.request_slots = threading.Semaphore(cfg.waiting_requests)
+        self._replies = PendingReplies()
         self._store: Store | None = None
         self._member_id = ""
         if cfg.is_control:
@@ -75,7 +75,7 @@
             cfg.instance, cfg.peer_address, self._loop.put
         )
         me = self.node.membership.state.me
-        self._dispatcher = Dispatcher(
+        self._dispatcher = AttemptDispatcher(
             f"{me.name}.{me.incarnation}",
             cfg.attempt_threads,
             self.clock,
@@ -156,7 +156,7 @@
         )
 
     def _connect(self) -> None:
-        give = self._replies.give
+        give = self._replies.resolve
         add = self._loop.add_handler
         add(query.Reply, self._handle_reply)
         add(membership.AnnounceReply, lambda m: give(m.token, m))
@@ -167,11 +167,11 @@
         add(control.Send, self._peers.send)
         if self._disk is not None:
             add(control.Persist, self._disk.write)
-        notes.connect(add, self.events)
+        event_log.add_log_handlers(add, self.events)
 
     def _handle_reply(self, reply: query.Reply) -> None:
-        self.metrics.note_reply(reply)
-        self._replies.give(reply.token, reply)
+        self.metrics.record_reply(reply)
+        self._replies.resolve(reply.token, reply)
         log.event(
             "answer",
             level="DEBUG",
@@ -215,7 +215,7 @@
         self._loop.put(membership.Leave())
         if self.cfg.is_entry:
             time.sleep(self.cfg.addresses_valid_s + self.cfg.leave_margin_s)
-            self._loop.put(CloseEntry())
+            self._loop.put(RejectNewRequests())
             self._wait_until_idle()
         self._loop.put(membership.Stop())
         time.sleep(IDLE_POLL_S)
@@ -244,11 +244,11 @@
         Returns:
             The answer, or None if it did not arrive in time.
         """
-        token, fut = self._replies.open()
+        token, fut = self._replies.register()
         self._loop.put(make(token))
         return self._replies.wait(token, fut, wait_s)
 
-    def note_gate_full(self) -> None:
+    def record_gate_refusal(self) -> None:
         """Counts a refusal at the gate and reports this entry as overloaded.
 
         Callers are then given other entries.
@@ -258,7 +258,7 @@
             first = self._overload_until is None
             self._overload_until = self.clock.now() + OVERLOAD_HOLD_S
         if first:
-            self._loop.put(membership.Overload(active=True))
+            self._loop.put(membership.OverloadChanged(active=True))
             threading.Thread(target=self._clear_overload, daemon=True).start()
 
     def _clear_overload(self) -> None:
@@ -270,7 +270,7 @@
                     self._overload_until = None
                     break
             time.sleep(left)
-        self._loop.put(membership.Overload(active=False))
+        self._loop.put(membership.OverloadChanged(active=False))
 
     def control_status(self) -> ControlStatus | None:
         """Returns the status of the control role, or None without that role."""
@@ -278,7 +278,7 @@
 
     def status(self) -> dict[str, Any]:
         """Returns the content of ``/v1/status``."""
-        return status.describe(self.node, self.clock.now())
+        return status.build_status(self.node, self.clock.now())
 
     def gauges(self) -> dict[str, float]:
         """Returns the current values of the gauges for ``/metrics``."""
--- a/greengagemoor/claims.py
+++ b/greengagemoor/claims.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor.codes import Code
-from greengagemoor.control.client import Ask
+from greengagemoor.control.client import OperationRequest
 from greengagemoor.control.commands import Claim, RecordOutcome
 from greengagemoor.control.messages import OpKind
 from greengagemoor.query.messages import (
     ClaimDecided,
     ClaimVerdict,
-    OutcomeKnown,
+    RecordOutcomeWanted,
 )
 from greengagemoor.util import values
 from greengagemoor.util.request_ids import issue_time
@@ -48,13 +48,15 @@
     """Marks replies to recorded outcomes, which are not waited for."""
 
 
-class Claims:
+class ClaimTracker:
     """Claims in progress in this process, by the token of their request."""
 
     def __init__(self):
         self._claim_ids: dict[int, str] = {}
 
-    def ask(self, me: InstanceRow, now: float, msg: ClaimWanted) -> Ask:
+    def claim_operation(
+        self, me: InstanceRow, now: float, msg: ClaimWanted
+    ) -> OperationRequest:
         """Returns the operation that claims a request.
 
         The claim id identifies this claim of this process: only its holder
@@ -76,9 +78,13 @@
             request_id=msg.request_id,
             send_before=now + CLAIM_VALID_S,
         )
-        return Ask(token, OpKind.CLAIM, now + CLAIM_WAIT_S, command)
+        return OperationRequest(
+            token, OpKind.CLAIM, now + CLAIM_WAIT_S, command
+        )
 
-    def record(self, now: float, msg: OutcomeKnown) -> Ask | None:
+    def outcome_operation(
+        self, now: float, msg: RecordOutcomeWanted
+    ) -> OperationRequest | None:
         """Returns the operation that records an outcome.
 
         None if this process has no claim for the request.
@@ -95,9 +101,11 @@
             time=now,
         )
         deadline = now + OUTCOME_WAIT_S
-        return Ask(OutcomeToken(), OpKind.OUTCOME, deadline, command)
+        return OperationRequest(
+            OutcomeToken(), OpKind.OUTCOME, deadline, command
+        )
 
-    def decided(self, done: Done) -> ClaimDecided:
+    def to_claim_decided(self, done: Done) -> ClaimDecided:
         """Returns the result of a claim for the query decider."""
         token: ClaimToken = done.token
         return ClaimDecided(
@@ -109,7 +117,9 @@
             outcome=done.reply.text,
         )
 
-    def give_back(self, now: float, done: Done) -> Ask | None:
+    def release_operation(
+        self, now: float, done: Done
+    ) -> OperationRequest | None:
         """Returns the operation that releases a claim that was not granted.
 
         A claim that was not answered in time may still be granted later;
@@ -119,17 +129,17 @@
         token: ClaimToken = done.token
         if _verdict(done) is ClaimVerdict.GRANTED:
             return None
-        if not done.maybe:
+        if not done.possibly_accepted:
             self._claim_ids.pop(token.token, None)
             return None
-        released = OutcomeKnown(
+        released = RecordOutcomeWanted(
             token=token.token,
             caller=token.caller,
             request_id=token.request_id,
             code=Code.NOT_RUN_NO_CONTROL,
             outcome="",
         )
-        return self.record(now, released)
+        return self.outcome_operation(now, released)
 
 
 def _verdict(done: Done) -> ClaimVerdict:
--- a/greengagemoor/forward/claiming.py
+++ b/greengagemoor/forward/claiming.py
@@ -5,13 +5,13 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor.codes import ClaimVerdict, Code
-from greengagemoor.control.client import Ask, ControlClient, Done
+from greengagemoor.control.client import ControlClient, Done, OperationRequest
 from greengagemoor.control.commands import Claim, RecordOutcome
 from greengagemoor.control.messages import OpKind
 from greengagemoor.forward.messages import (
-    TrialDecided,
-    TrialUnused,
-    TrialWanted,
+    ClaimTrial,
+    ReleaseTrialClaim,
+    TrialVerdict,
 )
 
 if TYPE_CHECKING:
@@ -54,11 +54,11 @@
         Args:
             now: seconds.
             controls: control instances with a working link.
-            msgs: ``TrialWanted``, ``TrialUnused``, and ``Received`` answers
-                to operations.
+            msgs: ``ClaimTrial``, ``ReleaseTrialClaim``, and ``Received``
+                answers to operations.
 
         Returns:
-            ``Send`` and ``TrialDecided``.
+            ``Send`` and ``TrialVerdict``.
         """
         self._client.targets = list(controls)
         operations = [self._operation(now, msg) for msg in msgs]
@@ -77,13 +77,13 @@
         return self._client.is_idle
 
     def _operation(self, now: float, msg: object) -> object:
-        if isinstance(msg, TrialWanted):
+        if isinstance(msg, ClaimTrial):
             return self._claim(now, msg)
-        if isinstance(msg, TrialUnused):
+        if isinstance(msg, ReleaseTrialClaim):
             return self._release(now, msg.wanted)
         return msg
 
-    def _claim(self, now: float, msg: TrialWanted) -> Ask:
+    def _claim(self, now: float, msg: ClaimTrial) -> OperationRequest:
         command = Claim(
             caller=TRIALS_CALLER,
             request_id=_trial_id(msg),
@@ -92,9 +92,11 @@
             valid_for_s=msg.valid_for_s,
             time=now,
         )
-        return Ask(msg, OpKind.CLAIM, now + CLAIM_TIMEOUT_S, command)
+        return OperationRequest(
+            msg, OpKind.CLAIM, now + CLAIM_TIMEOUT_S, command
+        )
 
-    def _release(self, now: float, msg: TrialWanted) -> Ask:
+    def _release(self, now: float, msg: ClaimTrial) -> OperationRequest:
         command = RecordOutcome(
             caller=TRIALS_CALLER,
             request_id=_trial_id(msg),
@@ -103,10 +105,12 @@
             outcome="",
             time=now,
         )
-        return Ask(None, OpKind.OUTCOME, now + RELEASE_TIMEOUT_S, command)
+        return OperationRequest(
+            None, OpKind.OUTCOME, now + RELEASE_TIMEOUT_S, command
+        )
 
 
-def _trial_id(msg: TrialWanted) -> str:
+def _trial_id(msg: ClaimTrial) -> str:
     return f"{msg.fingerprint.hex()}/{msg.epoch}/{msg.number}"
 
 
@@ -114,8 +118,8 @@
     return done.kind is OpKind.CLAIM
 
 
-def _decided(done: Done) -> TrialDecided:
+def _decided(done: Done) -> TrialVerdict:
     verdict = ClaimVerdict.UNAVAILABLE
     if done.reply.code == Code.ACCEPTED:
         verdict = ClaimVerdict(done.reply.verdict)
-    return TrialDecided(done.token, verdict)
+    return TrialVerdict(done.token, verdict)
--- a/greengagemoor/forward/entrydecider.py
+++ b/greengagemoor/forward/entry_decider.py
@@ -6,13 +6,13 @@
 
 from greengagemoor.control.messages import OpReply, Received
 from greengagemoor.feed import messages as feed
-from greengagemoor.feed.view import View
+from greengagemoor.feed.view import FeedView
 from greengagemoor.forward.claiming import TrialClaims
 from greengagemoor.forward.decider import ForwardDecider
 from greengagemoor.forward.messages import (
-    TrialDecided,
-    TrialUnused,
-    TrialWanted,
+    ClaimTrial,
+    ReleaseTrialClaim,
+    TrialVerdict,
 )
 
 if TYPE_CHECKING:
@@ -23,14 +23,14 @@
 
 _FOR_VIEW = (feed.LinkUp, feed.LinkDown, Received)
 _FOR_FORWARD = (
-    feed.SearcherLearnt,
+    feed.SearcherUpdated,
     feed.SlowSearchers,
-    feed.SuspectsLearnt,
-    feed.EvacuationsLearnt,
-    TrialDecided,
+    feed.SuspectsReceived,
+    feed.EvacuationsUpdated,
+    TrialVerdict,
 )
-_FOR_CLAIMS = (TrialWanted, TrialUnused)
-_OBSERVATIONS = (feed.SlowSeen, feed.SuspectsSeen)
+_FOR_CLAIMS = (ClaimTrial, ReleaseTrialClaim)
+_OBSERVATIONS = (feed.SlowSendObserved, feed.SuspectsObserved)
 _INTERNAL = _FOR_CLAIMS + _OBSERVATIONS
 
 
@@ -54,7 +54,7 @@
         """
         self.forward = ForwardDecider(me.data_centre, rng, policy, me.name)
         suspects = self.forward.tables.suspects
-        self.view = View(
+        self.view = FeedView(
             me.name, me.address, me.data_centre, suspects, me.peer_address
         )
         self._claims = TrialClaims(me.name, rng)
@@ -64,7 +64,7 @@
 
         Args:
             now: seconds of a clock that doesn't go back.
-            msgs: messages of ``View`` and ``ForwardDecider``.
+            msgs: messages of ``FeedView`` and ``ForwardDecider``.
 
         Returns:
             Output messages of both, in order.
@@ -75,7 +75,7 @@
             queue.append(msg)
         out = self._step_view(now, feed_msgs)
         out += self._step_claims(now, filter(_is_reply, feed_msgs))
-        self.forward.tables.takes_parts = self.view.me.ready
+        self.forward.tables.accepts_parts = self.view.me.ready
         updates = [msg for msg in out if isinstance(msg, _FOR_FORWARD)]
         return out + self._step_forward(now, updates + forward_msgs)
 
--- a/greengagemoor/forward/searchers.py
+++ b/greengagemoor/forward/searchers.py
@@ -16,21 +16,21 @@
 
 if TYPE_CHECKING:
     from greengagemoor.feed.messages import (
-        EvacuationsLearnt,
+        EvacuationsUpdated,
         SearcherRow,
         SlowSearchers,
     )
     from greengagemoor.forward.tables import Tables
 
 
-def take(tables: Tables, row: SearcherRow) -> list[AttemptEnded]:
+def apply_row(tables: Tables, row: SearcherRow) -> list[AttemptEnded]:
     """Applies an update of a searcher's row.
 
     Returns:
         The ends of sends to an earlier process of the searcher.
     """
-    if tables.possible_ends:
-        evidence.note_row(tables, row)
+    if tables.possible_crashes:
+        evidence.check_searcher_row(tables, row)
     known = tables.searchers.get(row.searcher_id)
     if known is not None and known.start != row.start:
         return _replace_restarted(tables, known, row)
@@ -92,7 +92,7 @@
     tables.by_service[searcher.service].remove(searcher)
 
 
-def take_slow(tables: Tables, msg: SlowSearchers) -> None:
+def mark_slow(tables: Tables, msg: SlowSearchers) -> None:
     """Marks searchers that other entries report as slow."""
     for key in msg.searchers:
         searcher = tables.searchers.get(key.searcher_id)
@@ -100,14 +100,14 @@
             searcher.slow_until = tables.now + msg.for_s
 
 
-def take_evacuations(tables: Tables, msg: EvacuationsLearnt) -> None:
+def apply_evacuations(tables: Tables, msg: EvacuationsUpdated) -> None:
     """Updates the set of evacuated data centres.
 
     Sends under way there complete normally. Idle connections are closed, as a
     searcher counts them against its connection cap.
     """
     before = tables.evacuated
-    tables.evacuations.take(msg.rows)
+    tables.evacuations.merge(msg.rows)
     tables.evacuated = tables.evacuations.active
     for row in tables.searchers.values():
         if row.data_centre in tables.evacuated - before:
@@ -141,5 +141,5 @@
     fewer entries are visible, can't raise the share.
     """
     rules = tables.services.get(service)
-    cap = rules.connection_cap if rules is not None else tables.sharers
-    return max(1, cap // tables.sharers)
+    cap = rules.connection_cap if rules is not None else tables.sharing_entries
+    return max(1, cap // tables.sharing_entries)
--- a/greengagemoor/node.py
+++ b/greengagemoor/node.py
@@ -8,12 +8,12 @@
 
 import attrs
 
-from greengagemoor.claims import Claims, ClaimToken, OutcomeToken
+from greengagemoor.claims import ClaimToken, ClaimTracker, OutcomeToken
 from greengagemoor.codes import Code
 from greengagemoor.control import messages as control
-from greengagemoor.control.client import Ask, ControlClient, Done
+from greengagemoor.control.client import ControlClient, Done, OperationRequest
 from greengagemoor.control.decider import ControlDecider
-from greengagemoor.control.joinmessages import SeedsChanged
+from greengagemoor.control.join_messages import SeedsChanged
 from greengagemoor.control.messages import OpKind, Received, Send
 from greengagemoor.membership import messages as membership
 from greengagemoor.membership.decider import MembershipDecider
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class CloseEntry:
+class RejectNewRequests:
     """Makes the entry reject new requests and finish the running ones."""
 
 
@@ -68,7 +68,7 @@
         self.control = control_decider
         self.client = ControlClient(control_targets, rng)
         self._configured_targets = set(control_targets)
-        self._claims = Claims()
+        self._claims = ClaimTracker()
         self._observed_addresses: dict[str, str] = {}
         self._out: list = []
         self._now = 0.0
@@ -141,8 +141,10 @@
             if f"i:{name}" in table.gone_since
         }
         self.client.targets = sorted((found | self._configured_targets) - gone)
-        if self.control is not None and self.control.is_outside:
-            self.control.meet({n: self._address_of(n) for n in found - gone})
+        if self.control is not None and self.control.is_joining:
+            self.control.add_contacts(
+                {n: self._address_of(n) for n in found - gone}
+            )
 
     def _read_document_when_due(self, inboxes: _Inboxes) -> None:
         """Reads the document from a quorum before callers are served.
@@ -153,7 +155,7 @@
         if self._next_read_at is None or self._now < self._next_read_at:
             return
         self._next_read_at = None
-        ask = Ask(
+        ask = OperationRequest(
             token=_ReadToken(),
             kind=OpKind.READ,
             deadline=self._now + READ_WAIT_S,
@@ -167,10 +169,10 @@
             inboxes.for_payload(msg.payload).append(msg)
         elif isinstance(msg, StartUp):
             self._next_read_at = self._now
-        elif isinstance(msg, CloseEntry):
+        elif isinstance(msg, RejectNewRequests):
             if self.query is not None:
                 self.query.close()
-        elif isinstance(msg, Ask):
+        elif isinstance(msg, OperationRequest):
             inboxes.client.append(msg)
         elif isinstance(msg, _QUERY_INPUTS):
             inboxes.query.append(msg)
@@ -189,9 +191,11 @@
             inboxes.membership.append(msg)
         elif isinstance(msg, query.ClaimWanted):
             me = self.membership.state.me
-            inboxes.client.append(self._claims.ask(me, self._now, msg))
-        elif isinstance(msg, query.OutcomeKnown):
-            ask = self._claims.record(self._now, msg)
+            inboxes.client.append(
+                self._claims.claim_operation(me, self._now, msg)
+            )
+        elif isinstance(msg, query.RecordOutcomeWanted):
+            ask = self._claims.outcome_operation(self._now, msg)
             if ask is not None:
                 inboxes.client.append(ask)
         elif isinstance(msg, Done):
@@ -234,8 +238,8 @@
         if isinstance(msg.token, _ReadToken):
             self._handle_read(msg, inboxes)
         elif isinstance(msg.token, ClaimToken):
-            inboxes.query.append(self._claims.decided(msg))
-            ask = self._claims.give_back(self._now, msg)
+            inboxes.query.append(self._claims.to_claim_decided(msg))
+            ask = self._claims.release_operation(self._now, msg)
             if ask is not None:
                 inboxes.client.append(ask)
         elif not isinstance(msg.token, OutcomeToken):
@@ -245,7 +249,7 @@
         if msg.reply.code != Code.CURRENT:
             self._next_read_at = self._now + READ_RETRY_S
             return
-        read = membership.CurrentRead(msg.reply.version, msg.reply.text)
+        read = membership.DocumentConfirmed(msg.reply.version, msg.reply.text)
         inboxes.membership.append(read)
 
 
@@ -282,9 +286,9 @@
     query.ControlReady,
 )
 _TO_MEMBERSHIP = (
-    query.DrainSeen,
+    query.DrainReported,
     control.DocumentAccepted,
-    control.Confirmed,
+    control.VersionConfirmed,
 )
 _CONTROL_INPUTS = (
     control.Persisted,
--- a/greengagemoor/platform/program.py
+++ b/greengagemoor/platform/program.py
@@ -16,7 +16,7 @@
     import socket
 
     from greengagemoor.serving.settings import ServingSettings
-    from greengagemoor.util.linewriter import LineWriter
+    from greengagemoor.util.line_writer import LineWriter
 
 RELOAD_INTERVAL_S = 1.0
 FLUSH_INTERVAL_S = 0.1
@@ -25,7 +25,7 @@
 async def _serve(
     role: str, cfg: ServingSettings, listener: socket.socket | None
 ) -> None:
-    lines = log.set_up_plain(cfg.instance)
+    lines = log.configure_line_writer(cfg.instance)
     log.event("start", role=role, data_centre=cfg.data_centre)
     if role == "entry":
         from greengagemoor.serving.entry import EntryApp
--- a/greengagemoor/query/messages.py
+++ b/greengagemoor/query/messages.py
@@ -130,7 +130,7 @@
 
 
 @attrs.frozen
-class DrainSeen:
+class DrainReported:
     """Notifies membership of a drain that a searcher reported in an answer."""
 
     service: str
@@ -172,7 +172,7 @@
 
 
 @attrs.frozen
-class OutcomeKnown:
+class RecordOutcomeWanted:
     """The outcome of a claimed request, to be recorded in the ledger.
 
     Attributes:
--- a/greengagemoor/serving/control.py
+++ b/greengagemoor/serving/control.py
@@ -15,23 +15,23 @@
 from greengagemoor.control import messages as control
 from greengagemoor.control.client import ControlClient, Done
 from greengagemoor.control.decider import ControlDecider
-from greengagemoor.control.joinmessages import SeedsChanged
+from greengagemoor.control.join_messages import SeedsChanged
 from greengagemoor.control.state import Timing
 from greengagemoor.errors import DocumentError, InvalidInputError
 from greengagemoor.feed import messages as feed
-from greengagemoor.feed.hub import Hub
+from greengagemoor.feed.hub import FeedHub
 from greengagemoor.feed.timing import Timing as HubTiming
 from greengagemoor.serving import dialect as calls
-from greengagemoor.serving import inboxes, opencalls
-from greengagemoor.serving.beliefs import Beliefs, StandingLog
-from greengagemoor.serving.durable import Durable
-from greengagemoor.serving.keeping import Keeper
+from greengagemoor.serving import message_dispatch, open_calls
+from greengagemoor.serving.durable_state import DurableState
+from greengagemoor.serving.event_log import ControlStateLog, StandingLog
+from greengagemoor.serving.hub_storage import HubStorage
 from greengagemoor.serving.metrics import ServingMetrics
-from greengagemoor.serving.opencalls import BadCalls, OpenCalls
+from greengagemoor.serving.open_calls import BadCalls, OpenCalls
 from greengagemoor.serving.operators import EvacuationPage, OperatorCalls
 from greengagemoor.serving.quarantine import QuarantinePage
 from greengagemoor.serving.ticker import Ticker
-from greengagemoor.shell import group_notes
+from greengagemoor.shell import group_log
 from greengagemoor.shell.clock import Clock
 
 if TYPE_CHECKING:
@@ -57,17 +57,17 @@
         self._dialect = dialect
         self._ticker = Ticker(self.clock, self._tick)
         self._links = Links(cfg.instance, cfg.peer_address, self._ticker.put)
-        self._hub = Hub(HubTiming(announce=cfg.announce_s), cfg.instance)
+        self._hub = FeedHub(HubTiming(announce=cfg.announce_s), cfg.instance)
         self._client = ControlClient([cfg.instance], self._rng)
-        self._durable = Durable(
+        self._durable = DurableState(
             cfg.data_folder,
             cfg.instance,
             self._ticker.put_threadsafe,
-            cfg.other_seeds if cfg.founds else None,
+            cfg.other_seeds if cfg.founds_group else None,
         )
-        self._hub_store = Keeper(self._hub, self._durable)
+        self._hub_store = HubStorage(self._hub, self._durable)
         self._decider: ControlDecider | None = None
-        self._state_log = Beliefs()
+        self._state_log = ControlStateLog()
         self._standing_log = StandingLog()
         self._linked_members: dict | None = None
         self._contacts: dict[str, str] = {}
@@ -93,7 +93,7 @@
     async def start(self) -> None:
         """Starts the listeners, then recovers the durable state."""
         await self._links.start()
-        self._links.want(set(self.cfg.seeds))
+        self._links.set_addresses(set(self.cfg.seeds))
         for server in self._servers:
             await server.start()
         await self._recover()
@@ -113,7 +113,7 @@
                 heartbeat=HEARTBEAT_S,
                 election=ELECTION_S,
                 join=JOIN_S,
-                retire=self.cfg.catch_up_s,
+                silence_timeout=self.cfg.catch_up_s,
             ),
             founders=opened.founders,
         )
@@ -123,7 +123,7 @@
     def reload(self, cfg: ServingSettings) -> None:
         """Applies changed settings and connects to their seeds."""
         self.cfg = self._operators.cfg = cfg
-        self._links.want({*cfg.seeds, *self._contacts.values()})
+        self._links.set_addresses({*cfg.seeds, *self._contacts.values()})
         self._ticker.put(SeedsChanged(cfg.other_seeds))
 
     async def stop(self) -> None:
@@ -136,7 +136,7 @@
 
     # Incoming calls.
 
-    def take(self, req: HttpRequest) -> None:
+    def handle_request(self, req: HttpRequest) -> None:
         """Handles a call of an operator, a searcher or a caller."""
         try:
             call = self._dialect.read_call(req)
@@ -144,28 +144,30 @@
             self._bad_calls.note(self.clock.now(), req.target, exc)
             call = None
         if isinstance(call, calls.AnnounceCall):
-            self._ticker.put(feed.Announced(self._calls.open(req), call.row))
+            self._ticker.put(
+                feed.SearcherAnnounced(self._calls.open(req), call.row)
+            )
         elif isinstance(call, calls.LeaveCall):
             self._ticker.put(
-                feed.Leaving(
+                feed.SearcherLeaving(
                     self._calls.open(req), call.searcher_id, call.start
                 )
             )
         elif isinstance(call, calls.PutCall):
-            self._operators.take_put(req, call)
+            self._operators.handle_put(req, call)
         elif isinstance(call, calls.ReadCall):
-            self._operators.take_read(req)
+            self._operators.handle_read(req)
         elif isinstance(call, calls.EvacuateCall):
-            self._operators.take_evacuate(req, call)
+            self._operators.handle_evacuate(req, call)
         elif isinstance(call, calls.FindEntriesCall):
             entries = self._hub.entries_for_caller()
-            opencalls.answer(req, self._dialect.write_entries(entries))
+            open_calls.answer(req, self._dialect.write_entries(entries))
         else:
-            opencalls.answer(req, self._dialect.write_unknown_call())
+            open_calls.answer(req, self._dialect.write_unknown_call())
 
-    def gone(self, req: HttpRequest) -> None:
+    def handle_disconnect(self, req: HttpRequest) -> None:
         """Discards a call whose connection closed; its operation continues."""
-        self._calls.forget(req)
+        self._calls.discard(req)
 
     # Ticks.
 
@@ -185,12 +187,16 @@
     def _step(self, now: float, batch: list, inbox: deque) -> None:
         out = []
         if self._decider is not None:
-            member_msgs = [msg for msg in batch if inboxes.is_for_decider(msg)]
+            member_msgs = [
+                msg for msg in batch if message_dispatch.is_for_member(msg)
+            ]
             out += self._decider.step(now, member_msgs)
             self._update_members()
             self._state_log.note(self._decider)
-        out += self._hub.step(now, filter(inboxes.is_for_hub, batch))
-        out += self._client.step(now, filter(inboxes.is_for_client, batch))
+        out += self._hub.step(now, filter(message_dispatch.is_for_hub, batch))
+        out += self._client.step(
+            now, filter(message_dispatch.is_for_client, batch)
+        )
         for msg in batch:
             if isinstance(msg, control.PersistFailed):
                 self._restart_member()
@@ -202,22 +208,26 @@
             self._send(msg, inbox)
         elif isinstance(msg, control.Persist):
             self._durable.write(msg)
-        elif isinstance(msg, control.NumberedAccepted):
+        elif isinstance(msg, control.NumberedDocumentAccepted):
             self._update_services(msg)
             inbox.append(msg)
         elif isinstance(msg, control.EvacuationsAccepted):
             inbox.append(msg)
-        elif isinstance(msg, feed.AnnouncementTaken):
-            reply = self._dialect.write_announced(self.cfg.control_address)
+        elif isinstance(msg, feed.AnnouncementAccepted):
+            reply = self._dialect.write_announcement_accepted(
+                self.cfg.control_address
+            )
             self._calls.answer(msg.token, reply)
-        elif isinstance(msg, feed.AnnouncementRefused):
-            self._calls.answer(msg.token, self._dialect.write_unheard())
+        elif isinstance(msg, feed.AnnouncementRejected):
+            self._calls.answer(
+                msg.token, self._dialect.write_announcement_rejected()
+            )
         elif isinstance(msg, feed.StandingChanged):
             self._standing_log.note(self.clock.now(), msg.row)
         elif isinstance(msg, Done):
-            self._calls.take_done(msg)
+            self._calls.complete(msg)
         else:
-            group_notes.write(msg)
+            group_log.log_notice(msg)
 
     def _send(self, msg: Send, inbox: deque) -> None:
         if msg.to == self.cfg.instance:
@@ -225,7 +235,7 @@
         else:
             self._links.send(msg)
 
-    def _update_services(self, msg: control.NumberedAccepted) -> None:
+    def _update_services(self, msg: control.NumberedDocumentAccepted) -> None:
         """Passes the services of the document in force to the hub."""
         try:
             table = self._dialect.read_document(zlib.decompress(msg.packed))
@@ -243,27 +253,27 @@
         know of a group, to forward operators' calls to its leader.
         """
         state = self._decider.state
-        outside = self._decider.is_outside
+        outside = self._decider.is_joining
         if state.members is self._linked_members and not outside:
             return
         self._linked_members = None if outside else state.members
         self._contacts = self._decider.contacts()
-        self._links.want({*self.cfg.seeds, *self._contacts.values()})
+        self._links.set_addresses({*self.cfg.seeds, *self._contacts.values()})
         addresses = {m.address for m in state.members.values()}
         names = {m.instance for m in state.members.values()}
         self._client.targets = sorted(names.union(self._contacts))
         self._hub.set_peers(tuple(sorted(addresses)), frozenset(names))
-        self._hub.set_outside(not state.group)
+        self._hub.set_outside_group(not state.group)
 
     def _gauges(self) -> dict[str, float]:
         return {
             **self._hub.gauges(),
             **self._state_log.gauges(),
-            "links": len(self._links.open),
+            "links": len(self._links.open_links),
             "link_bytes_sent_total": self._links.sent_bytes,
             "bad_calls_total": self._bad_calls.total,
             "tick_failures_total": self._ticker.failures,
-            "log_lines_lost_total": log.lines_lost(),
+            "log_lines_lost_total": log.dropped_lines(),
         }
 
     def _restart_member(self) -> None:
--- a/greengagemoor/serving/entry.py
+++ b/greengagemoor/serving/entry.py
@@ -10,18 +10,18 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor import log
-from greengagemoor.aio.client import HttpAnswer, HttpFailure
+from greengagemoor.aio.client import HttpFailure, HttpResponse
 from greengagemoor.aio.links import Links
-from greengagemoor.aio.pool import Pool, Sending
+from greengagemoor.aio.pool import PendingRequest, Pool
 from greengagemoor.aio.requests import Limits
 from greengagemoor.aio.server import HttpServer
 from greengagemoor.control.messages import Send
 from greengagemoor.errors import DocumentError
 from greengagemoor.feed import messages as feed
-from greengagemoor.forward import partmessages as parts
-from greengagemoor.forward.entrydecider import EntryDecider
+from greengagemoor.forward import part_messages as parts
+from greengagemoor.forward.entry_decider import EntryDecider
 from greengagemoor.forward.messages import (
-    AnswerLeft,
+    AnswerWritten,
     Arrived,
     AttemptEnded,
     CallerGone,
@@ -35,12 +35,12 @@
 )
 from greengagemoor.forward.policy import Policy
 from greengagemoor.routing import routes
-from greengagemoor.serving import beliefs
+from greengagemoor.serving import event_log
 from greengagemoor.serving.health import Health
-from greengagemoor.serving.identity import identify
 from greengagemoor.serving.metrics import ServingMetrics
 from greengagemoor.serving.peers import Peers
-from greengagemoor.serving.requestlog import RequestLog
+from greengagemoor.serving.request_identity import request_fingerprint
+from greengagemoor.serving.request_log import RequestLog
 from greengagemoor.serving.ticker import Ticker
 from greengagemoor.shell.clock import Clock
 
@@ -51,7 +51,7 @@
     from greengagemoor.serving.dialect import Dialect, Reply
     from greengagemoor.serving.settings import ServingSettings
 
-ALLOWANCE_SHARE = 0.85
+RETRY_BUDGET_SHARE = 0.85
 """Share of the allowed second sends that is used. The rest is a margin: a stall
 of the network moves requests and their repeats into different windows."""
 SWEEP_INTERVAL_S = 1.0
@@ -81,8 +81,8 @@
         self.clock = Clock()
         rng = random.Random(cfg.seed or hash(cfg.instance))
         policy = Policy(
-            retry_ratio=cfg.retry_ratio * ALLOWANCE_SHARE,
-            retry_slack=cfg.retry_slack * ALLOWANCE_SHARE,
+            retry_ratio=cfg.retry_ratio * RETRY_BUDGET_SHARE,
+            retry_slack=cfg.retry_slack * RETRY_BUDGET_SHARE,
             retry_window_s=cfg.retry_window_s,
         )
         self._dialect = dialect
@@ -106,12 +106,12 @@
         self._dialled_peers: tuple[str, ...] = ()
         self._tokens = count(1)
         self._requests: dict[int, HttpRequest] = {}
-        self._sends: dict[int, Sending] = {}
+        self._sends: dict[int, PendingRequest] = {}
         self._peers = Peers(
             cfg.instance, cfg.peer_address, self._ticker.put, self._requests
         )
         self._request_log = RequestLog()
-        self._standing_log = beliefs.StandingLog()
+        self._standing_log = event_log.StandingLog()
         self._metrics = ServingMetrics(self._gauges)
         health = Health(self, dialect)
         self._servers = [HttpServer(cfg.health_address, health, Limits())]
@@ -142,7 +142,7 @@
 
     def _update_links(self) -> None:
         self._dialled_peers = self._view.peers
-        self._links.want({*self.cfg.seeds, *self._view.peers})
+        self._links.set_addresses({*self.cfg.seeds, *self._view.peers})
 
     async def stop(self) -> None:
         """Stops without aborting a request.
@@ -167,7 +167,7 @@
 
     # Callers.
 
-    def take(self, req: HttpRequest) -> None:
+    def handle_request(self, req: HttpRequest) -> None:
         """Handles a caller's request."""
         if self._route_table is None or not self._view.is_confirmed:
             self._reply(req, self._dialect.write_no_document())
@@ -175,7 +175,7 @@
         info = self._dialect.read_request(req)
         route = self._route_table.find(info.host, req.path)
         if route is None:
-            beliefs.tell_no_route(info, req.path, self._route_table.version)
+            event_log.log_no_route(info, req.path, self._route_table.version)
             self._reply(req, self._dialect.write_no_route())
             return
         req.token = next(self._tokens)
@@ -185,13 +185,13 @@
                 req.token,
                 info.request_id,
                 route,
-                info.patience_s,
-                identify(req, info),
-                req.way_s,
+                info.remaining_wait_s,
+                request_fingerprint(req, info),
+                req.network_s,
             )
         )
 
-    def gone(self, req: HttpRequest) -> None:
+    def handle_disconnect(self, req: HttpRequest) -> None:
         """Discards a request whose connection closed."""
         if self._requests.pop(req.token, None) is not None:
             self._ticker.put(CallerGone(req.token))
@@ -208,7 +208,7 @@
             self._update_links()
         return self._decider.next_wake()
 
-    def _apply_document(self, msg: feed.DocumentLearnt) -> None:
+    def _apply_document(self, msg: feed.DocumentUpdated) -> None:
         try:
             table = self._dialect.read_document(zlib.decompress(msg.packed))
         except DocumentError as exc:
@@ -242,19 +242,19 @@
             self._peers.open(msg)
         elif isinstance(msg, parts.PartClosed):
             self._peers.close(self.clock.now(), msg)
-        elif isinstance(msg, feed.HelpersLearnt):
-            self._peers.want(msg.helpers)
+        elif isinstance(msg, feed.HelpersUpdated):
+            self._peers.set_addresses(msg.helpers)
         elif isinstance(msg, CloseIdle):
-            self._pool.close_address(msg.address)
+            self._pool.close_idle_to(msg.address)
         elif isinstance(msg, ProbeSearcher):
             done = partial(self._probe_done, msg.searcher)
-            self._pool.probe(msg.address, done)
-        elif isinstance(msg, feed.DocumentLearnt):
+            self._pool.check_listening(msg.address, done)
+        elif isinstance(msg, feed.DocumentUpdated):
             self._apply_document(msg)
         elif isinstance(msg, feed.StandingChanged):
             self._standing_log.note(self.clock.now(), msg.row)
         else:
-            beliefs.tell(msg, self._view.number)
+            event_log.log_change(msg, self._view.number)
 
     def _start_attempt(self, msg: StartAttempt) -> None:
         req = self._requests.get(msg.token)
@@ -270,7 +270,7 @@
         )
 
     def _attempt_done(
-        self, msg: StartAttempt, result: HttpAnswer | HttpFailure
+        self, msg: StartAttempt, result: HttpResponse | HttpFailure
     ) -> None:
         self._sends.pop(msg.attempt_id, None)
         if isinstance(result, HttpFailure):
@@ -280,7 +280,7 @@
                 outcome,
                 stale=result.stale,
                 reason=result.reason,
-                began=result.began,
+                response_began=result.response_began,
             )
         else:
             info = self._dialect.read_answer(result)
@@ -297,7 +297,7 @@
         if req is not None:
             self._reply(req, self._dialect.write_answer(msg))
         if msg.merged is not None:
-            self._ticker.put(AnswerLeft(self.clock.now() - msg.due_at))
+            self._ticker.put(AnswerWritten(self.clock.now() - msg.due_at))
         self._metrics.note(msg)
         self._request_log.note(self.clock.now(), msg, self._view.number)
 
@@ -307,16 +307,16 @@
             "document_version": self._view.number,
             "ready": float(self.ready),
             "entries_known": self._view.entries,
-            "links": len(self._links.open),
+            "links": len(self._links.open_links),
             "link_bytes_sent_total": self._links.sent_bytes,
             "peer_bytes_sent_total": self._peers.sent_bytes,
-            "searcher_connections_opened_total": self._pool.opened,
+            "searcher_connections_opened_total": self._pool.opened_count,
             "caller_connections": len(self._callers.conns),
             "tick_failures_total": self._ticker.failures,
-            "log_lines_lost_total": log.lines_lost(),
+            "log_lines_lost_total": log.dropped_lines(),
         }
 
     def _sweep(self) -> None:
-        self._pool.sweep()
-        self._metrics.fill()
+        self._pool.close_expired()
+        self._metrics.update_histograms()
         asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
--- a/greengagemoor/serving/beliefs.py
+++ b/greengagemoor/serving/event_log.py
@@ -7,20 +7,20 @@
 from greengagemoor import log
 from greengagemoor.feed import messages as feed
 from greengagemoor.feed.suspects import Standing, standing_of
-from greengagemoor.util.linebudget import LineBudget
+from greengagemoor.util.line_budget import LineBudget
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from greengagemoor.control.decider import ControlDecider
     from greengagemoor.control.evacuations import Evacuation
-    from greengagemoor.serving.dialect import CallerWords
+    from greengagemoor.serving.dialect import RequestInfo
 
 STANDING_LINES_PER_S = 5.0
 STANDING_LINES_BURST = 50.0
 
 
-class Beliefs:
+class ControlStateLog:
     """Logs changes of a control instance's role and document."""
 
     def __init__(self):
@@ -52,26 +52,26 @@
         }
 
 
-def tell(msg: object, document: int) -> None:
+def log_change(msg: object, document: int) -> None:
     """Logs a change that an entry's decider reports.
 
     Args:
         msg: output message of the decider.
         document: number of the document in force at the entry.
     """
-    if isinstance(msg, feed.SearcherLearnt):
+    if isinstance(msg, feed.SearcherUpdated):
         _log_searcher(msg.row)
     elif isinstance(msg, feed.SlowSearchers):
         _log_slow(msg)
-    elif isinstance(msg, feed.DifferenceRefused):
+    elif isinstance(msg, feed.DifferenceRejected):
         _log_rejected_difference(msg)
-    elif isinstance(msg, feed.EvacuationsLearnt):
-        tell_evacuations(msg.rows)
+    elif isinstance(msg, feed.EvacuationsUpdated):
+        log_evacuations(msg.rows)
     elif isinstance(msg, feed.ReadyChanged):
         log.event("ready", ready=msg.ready, document=document)
 
 
-def tell_evacuations(rows: Iterable[Evacuation]) -> None:
+def log_evacuations(rows: Iterable[Evacuation]) -> None:
     """Logs which evacuations of data centres begin or end."""
     for row in rows:
         log.event(
@@ -94,8 +94,8 @@
 
     def note(self, now: float, row: feed.Suspect) -> None:
         """Logs one change, and how many were left out since the last line."""
-        if self._budget.take(now):
-            _log_standing(row, self._budget.take_dropped())
+        if self._budget.try_take(now):
+            _log_standing(row, self._budget.reset_dropped())
 
 
 def _log_standing(row: feed.Suspect, dropped: int) -> None:
@@ -117,7 +117,7 @@
     return ",".join(f"{key.searcher_id}@{key.start}" for key in keys)
 
 
-def tell_no_route(info: CallerWords, path: str, document: int) -> None:
+def log_no_route(info: RequestInfo, path: str, document: int) -> None:
     """Logs that no route of the document matches a request."""
     log.event(
         "no_route",
@@ -147,7 +147,7 @@
     log.event("searcher_slow", searcher=ids, for_s=msg.for_s)
 
 
-def _log_rejected_difference(msg: feed.DifferenceRefused) -> None:
+def _log_rejected_difference(msg: feed.DifferenceRejected) -> None:
     """Logs why a difference is rejected; the whole document is fetched."""
     log.event(
         "difference_refused",
--- a/greengagemoor/serving/metrics.py
+++ b/greengagemoor/serving/metrics.py
@@ -59,7 +59,7 @@
             self._series_names.add(route)
         return route if route in self._series_names else OTHER_ROUTES
 
-    def fill(self) -> None:
+    def update_histograms(self) -> None:
         """Adds the times collected so far to the histograms.
 
         The library is imported for the first of them: not before callers are
@@ -79,7 +79,7 @@
 
     def text(self) -> str:
         """Returns all metrics in the Prometheus text format."""
-        self.fill()
+        self.update_histograms()
         return "\n".join(self._lines()) + "\n"
 
     def _lines(self) -> Iterator[str]:
@@ -97,12 +97,12 @@
         for name, value in sorted({**self._totals, **self._gauges()}.items()):
             yield f"{PREFIX}{name} {value:g}"
 
-    def take(self, req: HttpRequest) -> None:
+    def handle_request(self, req: HttpRequest) -> None:
         """Answers a request for the metrics."""
         reply = Reply(200, ((b"Content-Type", b"text/plain"),))
         req.conn.reply(req, reply.status, reply.headers, self.text().encode())
 
-    def gone(self, req: HttpRequest) -> None:
+    def handle_disconnect(self, req: HttpRequest) -> None:
         """Does nothing: no request is pending."""
 
 
--- a/greengagemoor/serving/opencalls.py
+++ b/greengagemoor/serving/open_calls.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor import log
-from greengagemoor.util.linebudget import LineBudget
+from greengagemoor.util.line_budget import LineBudget
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -46,7 +46,7 @@
             self._writers[req.token] = write
         return req.token
 
-    def forget(self, req: HttpRequest) -> None:
+    def discard(self, req: HttpRequest) -> None:
         """Discards a call whose connection closed."""
         self._waiting.pop(req.token, None)
         self._writers.pop(req.token, None)
@@ -57,7 +57,7 @@
         if req is not None:
             answer(req, reply)
 
-    def take_done(self, msg: Done) -> None:
+    def complete(self, msg: Done) -> None:
         """Answers an operator's call whose operation has ended."""
         code = msg.reply.code
         log.event(
@@ -86,7 +86,7 @@
     def note(self, now: float, target: str, reason: Exception) -> None:
         """Counts a call; logs it within the budget."""
         self.total += 1
-        if self._budget.take(now):
+        if self._budget.try_take(now):
             log.event(
                 "bad_call",
                 target=target[:MAX_FIELD_CHARACTERS],
--- a/greengagemoor/shell/group_notes.py
+++ b/greengagemoor/shell/group_log.py
@@ -5,15 +5,15 @@
 from typing import TYPE_CHECKING
 
 from greengagemoor import log
-from greengagemoor.control.notices import JoinWaiting, MembersChanged
+from greengagemoor.control.notices import JoinPending, MembersChanged
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
 
-def write(msg: object) -> bool:
+def log_notice(msg: object) -> bool:
     """Logs a notice; returns whether the message was one."""
-    writer = WRITERS.get(type(msg))
+    writer = LOGGERS_BY_NOTICE.get(type(msg))
     if writer is None:
         return False
     writer(msg)
@@ -34,7 +34,7 @@
     )
 
 
-def _log_join_waiting(msg: JoinWaiting) -> None:
+def _log_join_waiting(msg: JoinPending) -> None:
     log.event(
         "join_waiting",
         level="WARNING",
@@ -44,7 +44,7 @@
     )
 
 
-WRITERS: dict[type, Callable[[object], None]] = {
+LOGGERS_BY_NOTICE: dict[type, Callable[[object], None]] = {
     MembersChanged: _log_members,
-    JoinWaiting: _log_join_waiting,
+    JoinPending: _log_join_waiting,
 }
--- a/greengagemoor/shell/routes.py
+++ b/greengagemoor/shell/routes.py
@@ -10,11 +10,11 @@
 import attrs
 
 from greengagemoor.codes import CODE_TABLE, Code
-from greengagemoor.control.client import Ask
+from greengagemoor.control.client import OperationRequest
 from greengagemoor.control.commands import ApplyDocument
 from greengagemoor.control.messages import OpKind
 from greengagemoor.errors import InvalidInputError
-from greengagemoor.membership.messages import Announce, AskAddresses
+from greengagemoor.membership.messages import AddressesRequest, Announce
 from greengagemoor.query.messages import Request
 from greengagemoor.shell.http_messages import (
     AnnouncementBody,
@@ -24,7 +24,7 @@
     answer_response,
     json_response,
 )
-from greengagemoor.util import shape
+from greengagemoor.util import json_conversion
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -148,7 +148,7 @@
 @route("GET", "/v1/addresses")
 def _addresses(req: HttpRequest) -> Response:
     reply = req.app.ask(
-        lambda token: AskAddresses(
+        lambda token: AddressesRequest(
             token, req.argument("service"), req.argument("data_centre")
         ),
         MEMBERSHIP_TIMEOUT_S,
@@ -166,7 +166,7 @@
 @route("POST", "/v1/announcements")
 def _announce(req: HttpRequest) -> Response:
     try:
-        body = shape.parse_json(req.body, AnnouncementBody)
+        body = json_conversion.decode_json(req.body, AnnouncementBody)
     except InvalidInputError as exc:
         req.app.metrics.count("announcements_invalid")
         fields = {"faults": list(exc.faults)}
@@ -187,9 +187,9 @@
 
 @route("POST", "/v1/services/([^/]+)/requests")
 def _request(req: HttpRequest) -> Response:
-    body = shape.parse_json(req.body, RequestBody)
-    if not req.app.gate.acquire(blocking=False):
-        req.app.note_gate_full()
+    body = json_conversion.decode_json(req.body, RequestBody)
+    if not req.app.request_slots.acquire(blocking=False):
+        req.app.record_gate_refusal()
         fields = {
             "request_id": body.request_id,
             "detail": "entry has too many waiting requests",
@@ -198,7 +198,7 @@
     try:
         return _run_request(req, body)
     finally:
-        req.app.gate.release()
+        req.app.request_slots.release()
 
 
 def _run_request(req: HttpRequest, body: RequestBody) -> Response:
@@ -245,7 +245,7 @@
 
 @route("PUT", "/v1/document")
 def _apply_document(req: HttpRequest) -> Response:
-    body = shape.parse_json(req.body, ApplyBody)
+    body = json_conversion.decode_json(req.body, ApplyBody)
     command = ApplyDocument(
         apply_id=body.apply_id,
         replaces=body.replaces,
@@ -263,7 +263,9 @@
 ) -> Done | None:
     deadline = app.clock.now() + OPERATION_TIMEOUT_S
     return app.ask(
-        lambda token: Ask(token, kind, deadline, command, member_id=member_id),
+        lambda token: OperationRequest(
+            token, kind, deadline, command, member_id=member_id
+        ),
         OPERATION_TIMEOUT_S + ANSWER_GRACE_S,
     )
 
--- a/tests/test_aio/test_client.py
+++ b/tests/test_aio/test_client.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from greengagemoor.aio.client import HttpAnswer, HttpFailure
+from greengagemoor.aio.client import HttpFailure, HttpResponse
 from greengagemoor.aio.pool import Pool
 from tests.test_aio.helpers import ok, raw_server, read_head, reset, run
 
@@ -16,10 +16,10 @@
     return lambda headers: (b"Id", request_id) in headers
 
 
-async def ask(pool, address, is_mine=lambda _: True, data=GET):
+async def ask(pool, address, matches_request=lambda _: True, data=GET):
     """Sends one request and returns the response or failure."""
     fut = asyncio.get_running_loop().create_future()
-    pool.send(address, data, fut.set_result, is_mine)
+    pool.send(address, data, fut.set_result, matches_request)
     return await fut
 
 
@@ -140,7 +140,7 @@
                 return await ask(Pool(), address, echoes_id(b"new"))
 
         answer = run(main())
-        assert isinstance(answer, HttpAnswer)
+        assert isinstance(answer, HttpResponse)
         assert answer.body == b"right"
         assert answer.headers[0] == (b"Id", b"new")
         assert (b"Stamp", b"old") not in answer.headers
@@ -180,7 +180,7 @@
                 pool = Pool()
                 await ask(pool, address)
                 await asyncio.sleep(0.15)
-                return (await ask(pool, address)).body, pool.opened
+                return (await ask(pool, address)).body, pool.opened_count
 
         assert run(main()) == (b"right", 2)
 
--- a/tests/test_bench/test_experiment.py
+++ b/tests/test_bench/test_experiment.py
@@ -12,11 +12,11 @@
     run_variant,
 )
 from bench.gathers import Figures
-from greengagemoor.forward import choosing
+from greengagemoor.forward import selection
 
 
 def figures(credit, owed=100):
-    return Figures(owed=owed, credit=credit)
+    return Figures(requests=owed, credit=credit)
 
 
 class TestCompare:
@@ -48,13 +48,13 @@
         assert after == before
 
     def test_restores_constants_after_an_exception(self):
-        value = choosing.NOISE
+        value = selection.COST_JITTER
         with (
             pytest.raises(KeyError),
-            override_constants([(choosing, "NOISE", 0.0)]),
+            override_constants([(selection, "COST_JITTER", 0.0)]),
         ):
             raise KeyError
-        assert value == choosing.NOISE
+        assert value == selection.COST_JITTER
 
     def test_same_seed_gives_the_same_figures(self):
         first, second = (
@@ -67,4 +67,4 @@
         base = run_variant("lockers", 0.35, range(1, 2), 6.0, ({}, []))
         overrides = mechanisms.get("second-sends")()
         other = run_variant("lockers", 0.35, range(1, 2), 6.0, overrides)
-        assert other[0].sends < base[0].sends
+        assert other[0].attempts < base[0].attempts
--- a/tests/test_feed/test_documents.py
+++ b/tests/test_feed/test_documents.py
@@ -6,7 +6,7 @@
 
 from greengagemoor.codes import Code
 from greengagemoor.control.messages import (
-    NumberedAccepted,
+    NumberedDocumentAccepted,
     OpReply,
     OpRequest,
     Received,
@@ -38,7 +38,7 @@
     bench = HubBench()
     bench.subscribe("e1")
     for number in numbers:
-        bench.step(NumberedAccepted(number, packed(number)))
+        bench.step(NumberedDocumentAccepted(number, packed(number)))
     return bench
 
 
@@ -47,7 +47,7 @@
     return [
         (x.number, zlib.decompress(x.packed))
         for x in out
-        if isinstance(x, m.DocumentLearnt)
+        if isinstance(x, m.DocumentUpdated)
     ]
 
 
@@ -70,7 +70,7 @@
         view.receive(m.NumberedDocument(7, packed(7)))
         out = view.receive(ask(hub, 7))
         assert accepted(out) == [(12, text(12))]
-        hub.step(NumberedAccepted(13, packed(13)))
+        hub.step(NumberedDocumentAccepted(13, packed(13)))
         assert accepted(view.receive(ask(hub, 12))) == [(13, text(13))]
 
     def test_entry_far_behind_gets_the_whole_document(self):
@@ -106,7 +106,7 @@
         bad = m.NumberedDocument(9, whole.packed[:-3] + b"abc", 7)
         view, out = self.view_and_output(bad)
         assert accepted(out) == []
-        (refusal,) = [x for x in out if isinstance(x, m.DifferenceRefused)]
+        (refusal,) = [x for x in out if isinstance(x, m.DifferenceRejected)]
         assert (refusal.source, refusal.number) == ("c1", 9)
         assert Send("c1", m.WantNumbered(0)) in out
         assert view.view.number == 7
--- a/tests/test_forward/helpers.py
+++ b/tests/test_forward/helpers.py
@@ -5,9 +5,9 @@
 import random
 
 from greengagemoor.feed.messages import (
-    SearcherLearnt,
     SearcherRow,
     SearcherState,
+    SearcherUpdated,
 )
 from greengagemoor.forward import messages as m
 from greengagemoor.forward.decider import ForwardDecider
@@ -49,7 +49,7 @@
 
 
 class Bench:
-    """Steps a decider and collects its output in ``said``."""
+    """Steps a decider and collects its output in ``outputs``."""
 
     def __init__(self, services=1, searchers=3, cap=40, **policy):
         self.now = 100.0
@@ -59,7 +59,7 @@
         names = [f"s{i}" for i in range(services)]
         rules = {name: ServiceRules(name, cap) for name in names}
         self.decider.set_routes(RouteTable(1, (), rules, LIMITS))
-        self.said = []
+        self.outputs = []
         self.tokens = 0
         for name in names:
             for i in range(searchers):
@@ -77,13 +77,13 @@
         row = SearcherRow(
             searcher_id, service, address, data_centre, state, seq, 5, 0.0
         )
-        return self.step(SearcherLearnt(row))
+        return self.step(SearcherUpdated(row))
 
     def step(self, *msgs, after=0.0):
         """Advances the clock, then ticks; returns the output."""
         self.now += after
         out = self.decider.step(self.now, msgs)
-        self.said += out
+        self.outputs += out
         return out
 
     def pass_time(self, seconds, tick=0.005):
--- a/tests/test_forward/test_parts.py
+++ b/tests/test_forward/test_parts.py
@@ -8,16 +8,16 @@
 
 from greengagemoor.control.evacuations import Evacuation
 from greengagemoor.feed.messages import (
-    EvacuationsLearnt,
+    EvacuationsUpdated,
     SearcherKey,
-    SearcherLearnt,
     SearcherRow,
     SearcherState,
+    SearcherUpdated,
     Suspect,
-    SuspectsLearnt,
+    SuspectsReceived,
 )
 from greengagemoor.forward import messages as m
-from greengagemoor.forward import partmessages as p
+from greengagemoor.forward import part_messages as p
 from greengagemoor.forward.decider import ForwardDecider
 from greengagemoor.forward.messages import Ending, Outcome
 from greengagemoor.forward.policy import Policy
@@ -70,7 +70,7 @@
         decider.step(self.now - 60.0, ())
         decider.tables.link_bytes_per_s = link
         decider.tables.answer_bytes[ROUTE.name] = BYTES
-        decider.tables.takes_parts = True
+        decider.tables.accepts_parts = True
         rows = [
             SearcherRow(
                 f"{n}.{i}", n, f"{n}.{i}:1", "dc1", SearcherState.READY, 1, 5, 0
@@ -78,7 +78,7 @@
             for n in names
             for i in range(3)
         ]
-        decider.step(self.now, [SearcherLearnt(row) for row in rows])
+        decider.step(self.now, [SearcherUpdated(row) for row in rows])
         self.entries[name] = decider
 
     def put(self, name, msg, after=0.0):
@@ -321,7 +321,7 @@
         """Guards against parts at an entry without a list of evacuations."""
         fleet = Fleet()
         for name in ("e1", "e2"):
-            fleet.entries[name].tables.takes_parts = False
+            fleet.entries[name].tables.accepts_parts = False
         fleet.ask()
         fleet.run(0.1)
         assert fleet.answers[0].ending is Ending.ANSWERED
@@ -336,14 +336,14 @@
             while budget.may_take(fleet.now):
                 budget.count(fleet.now)
         for name in ("e1", "e2"):
-            fleet.entries[name].tables.takes_parts = False
+            fleet.entries[name].tables.accepts_parts = False
         fleet.ask()
         fleet.run(0.1)
         assert fleet.answers[0].ending is Ending.ANSWERED
 
     def test_evacuation_at_the_helper(self):
         fleet = Fleet()
-        msg = EvacuationsLearnt((Evacuation("dc1", 1, True),))
+        msg = EvacuationsUpdated((Evacuation("dc1", 1, True),))
         fleet.put("e1", msg)
         fleet.run(0.01)
         fleet.ask()
@@ -379,7 +379,7 @@
         fleet = Fleet()
         ended = tuple(SearcherKey(f"x{i}") for i in range(3))
         suspect = Suspect(b"f" * 16, ended=ended, route="all")
-        fleet.put("e1", SuspectsLearnt((suspect,)))
+        fleet.put("e1", SuspectsReceived((suspect,)))
         fleet.run(0.01)
         fleet.ask(fingerprint=b"f" * 16)
         fleet.run(0.1)
--- a/tests/test_forward/test_trials.py
+++ b/tests/test_forward/test_trials.py
@@ -8,8 +8,8 @@
 from greengagemoor.feed.messages import (
     SearcherKey,
     Suspect,
-    SuspectsLearnt,
-    SuspectsSeen,
+    SuspectsObserved,
+    SuspectsReceived,
 )
 from greengagemoor.feed.suspects import Standing
 from greengagemoor.forward import messages as m
@@ -26,17 +26,17 @@
 
     def __init__(self, **more):
         super().__init__(services=4, **more)
-        self.step(SuspectsLearnt((SUSPECT,)))
+        self.step(SuspectsReceived((SUSPECT,)))
 
     def ask(self, route=ROUTE):
         return self.arrive(route, fingerprint=b"f")
 
     def decide(self, verdict=ClaimVerdict.GRANTED):
-        wanted = [msg for msg in self.said if isinstance(msg, m.TrialWanted)]
-        return self.step(m.TrialDecided(wanted[-1], verdict))
+        wanted = [msg for msg in self.outputs if isinstance(msg, m.ClaimTrial)]
+        return self.step(m.TrialVerdict(wanted[-1], verdict))
 
     def output(self, kind):
-        return [msg for msg in self.said if isinstance(msg, kind)]
+        return [msg for msg in self.outputs if isinstance(msg, kind)]
 
     @property
     def standing(self):
@@ -49,7 +49,7 @@
     def test_nothing_is_sent_before_the_grant(self):
         bench = TrialBench()
         assert not starts(bench.ask())
-        assert len(bench.output(m.TrialWanted)) == 1
+        assert len(bench.output(m.ClaimTrial)) == 1
 
     def test_one_searcher_gets_the_trial(self):
         bench = TrialBench()
@@ -67,7 +67,7 @@
         assert len(sent) == 3 + 4
         assert bench.standing is Standing.WATCHED
         bench.pass_time(0.01)
-        (seen,) = bench.output(SuspectsSeen)
+        (seen,) = bench.output(SuspectsObserved)
         assert seen.rows[0].epoch == 1
 
     def test_end_of_the_searcher_quarantines(self):
@@ -123,7 +123,7 @@
         (trial,) = starts(bench.decide())
         (again,) = starts(bench.end(trial, outcome))
         assert again.searcher_id != trial.searcher_id
-        assert len(bench.output(m.TrialWanted)) == 1
+        assert len(bench.output(m.ClaimTrial)) == 1
 
     def test_caller_that_leaves_does_not_end_the_trial(self):
         bench = TrialBench()
@@ -149,7 +149,7 @@
         bench.ask()
         bench.step(m.CallerGone(bench.tokens))
         assert not starts(bench.decide())
-        assert len(bench.output(m.TrialUnused)) == 1
+        assert len(bench.output(m.ReleaseTrialClaim)) == 1
 
     def test_grant_is_released_if_caller_left_before_the_run(self):
         bench = TrialBench()
@@ -157,14 +157,14 @@
         (trial,) = starts(bench.decide())
         bench.step(m.CallerGone(bench.tokens))
         bench.end(trial, Outcome.NOT_SENT)
-        assert len(bench.output(m.TrialUnused)) == 1
+        assert len(bench.output(m.ReleaseTrialClaim)) == 1
 
     def test_late_grant_is_released(self):
         bench = TrialBench()
         bench.ask()
-        bench.step(SuspectsLearnt((Suspect(b"f", epoch=1),)))
+        bench.step(SuspectsReceived((Suspect(b"f", epoch=1),)))
         bench.decide()
-        assert len(bench.output(m.TrialUnused)) == 1
+        assert len(bench.output(m.ReleaseTrialClaim)) == 1
 
     def test_grant_without_a_free_place_is_released(self):
         bench = TrialBench(cap=10)
@@ -173,15 +173,15 @@
         bench.ask()
         assert not starts(bench.decide())
         bench.pass_time(TRIAL_VALID_S + 0.1, tick=0.05)
-        assert bench.output(m.TrialUnused)
+        assert bench.output(m.ReleaseTrialClaim)
 
     def test_trial_of_another_entry_is_waited_for(self):
         bench = TrialBench()
         bench.ask()
         bench.decide(ClaimVerdict.IN_PROGRESS)
         bench.pass_time(0.2)
-        assert len(bench.output(m.TrialWanted)) == 2
-        assert {msg.number for msg in bench.output(m.TrialWanted)} == {1}
+        assert len(bench.output(m.ClaimTrial)) == 2
+        assert {msg.number for msg in bench.output(m.ClaimTrial)} == {1}
 
     def test_held_request_ends_when_its_answer_is_due(self):
         bench = TrialBench()
@@ -203,7 +203,7 @@
     def test_cleared_elsewhere(self):
         bench = TrialBench()
         bench.ask()
-        out = bench.step(SuspectsLearnt((Suspect(b"f", epoch=1),)))
+        out = bench.step(SuspectsReceived((Suspect(b"f", epoch=1),)))
         assert len(starts(out)) == 4
 
     def test_quarantined_elsewhere(self):
@@ -212,7 +212,7 @@
         row = Suspect(
             b"f", ended=SUSPECT.ended, failed=(SearcherKey("a"),), sure=True
         )
-        (end,) = answers(bench.step(SuspectsLearnt((row,))))
+        (end,) = answers(bench.step(SuspectsReceived((row,))))
         assert end.ending is Ending.NOT_RUN_QUARANTINED
 
     def test_single_request(self):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -4,13 +4,13 @@
 
 import attrs
 
-from greengagemoor.control.client import Ask
+from greengagemoor.control.client import OperationRequest
 from greengagemoor.control.commands import ApplyDocument
 from greengagemoor.control.messages import OpKind
-from greengagemoor.membership.messages import Announce, AskAddresses
+from greengagemoor.membership.messages import AddressesRequest, Announce
 from greengagemoor.query.messages import Request
 from tests.fakes import DOCUMENT, FakeFleet, answer_to, server
-from tests.stories import story
+from tests.output_text import format_output
 
 
 def start_fleet(entries=("e1", "e2"), controls=("c1",), seed: int = 1):
@@ -22,7 +22,7 @@
         fleet.add(name, ("entry",), group=controls, dc=f"dc{number}")
     fleet.run_until(fleet.leader)
     apply = ApplyDocument("first", 0, DOCUMENT, 0.0)
-    ask = Ask("apply", OpKind.APPLY, fleet.now + 5, apply)
+    ask = OperationRequest("apply", OpKind.APPLY, fleet.now + 5, apply)
     fleet.put(controls[0], ask)
     fleet.run_until(lambda: all_in_state(fleet, entries, "ready"))
     for name in "abc":
@@ -52,7 +52,7 @@
         fleet = start_fleet()
         announce(fleet)
         fleet.run(2.0)
-        fleet.put("e2", AskAddresses(1, "s"))
+        fleet.put("e2", AddressesRequest(1, "s"))
         fleet.put("e2", Request(2, "atlas", "read", "r-1", "s", body='"q"'))
         booking = Request(
             3, "atlas", "book", "3000-x", "s", repeatable=False, key="well-7"
@@ -61,4 +61,4 @@
         fleet.run(1.0)
         fleet.put("e2", attrs.evolve(booking, token=4))
         fleet.run(1.0)
-        file_regression.check(story(fleet))
+        file_regression.check(format_output(fleet))
--- a/tests/test_serving/test_operators.py
+++ b/tests/test_serving/test_operators.py
@@ -8,13 +8,13 @@
 
 from greengagemoor.aio.requests import HttpRequest
 from greengagemoor.codes import Code
-from greengagemoor.control.client import Ask, Done
+from greengagemoor.control.client import Done, OperationRequest
 from greengagemoor.control.commands import SetEvacuation
 from greengagemoor.control.evacuations import Evacuation
 from greengagemoor.control.messages import OpKind, OpReply
 from greengagemoor.platform.dialect import PlatformDialect
 from greengagemoor.serving.dialect import EvacuateCall
-from greengagemoor.serving.opencalls import OpenCalls
+from greengagemoor.serving.open_calls import OpenCalls
 from greengagemoor.serving.operators import EvacuationPage, OperatorCalls
 from greengagemoor.serving.settings import ServingSettings
 from tests.test_serving.helpers import Caller, Metrics
@@ -39,18 +39,20 @@
     def order(self, data_centre, active=True):
         caller = Caller()
         req = HttpRequest("POST", "/", [], b"", 0.0, caller)
-        self.operators.take_evacuate(req, EvacuateCall(data_centre, active))
+        self.operators.handle_evacuate(req, EvacuateCall(data_centre, active))
         return caller
 
     def call(self, method, path="/evacuations", body=b""):
         caller = Caller()
-        self.page.take(HttpRequest(method, path, [], body, 0.0, caller))
+        self.page.handle_request(
+            HttpRequest(method, path, [], body, 0.0, caller)
+        )
         return caller
 
     def end(self, code, **more):
         (ask,) = self.asks
         reply = OpReply(1, code, **more)
-        self.calls.take_done(Done(ask.token, ask.kind, reply))
+        self.calls.complete(Done(ask.token, ask.kind, reply))
 
 
 class TestEvacuate:
@@ -70,7 +72,7 @@
         assert caller.status == 0
         (ask,) = harness.asks
         command = SetEvacuation("dc2", True, 0, 0.0)
-        assert ask == Ask(1, OpKind.EVACUATE, 5.9, command)
+        assert ask == OperationRequest(1, OpKind.EVACUATE, 5.9, command)
         harness.end(code)
         assert caller.status == status
 
@@ -91,8 +93,8 @@
         harness = OperatorsHarness()
         caller = Caller()
         req = HttpRequest("POST", "/", [], b"", 0.0, caller)
-        harness.operators.take_evacuate(req, EvacuateCall("dc1", True))
-        harness.operators.forget(req)
+        harness.operators.handle_evacuate(req, EvacuateCall("dc1", True))
+        harness.operators.discard(req)
         harness.end(Code.ACCEPTED)
         assert caller.status == 0
 
--- a/tests/test_serving/test_quarantine.py
+++ b/tests/test_serving/test_quarantine.py
@@ -9,7 +9,7 @@
 from greengagemoor.aio.requests import HttpRequest
 from greengagemoor.feed.messages import ClearSuspect, SearcherKey, Suspect
 from greengagemoor.feed.suspects import SuspectTable
-from greengagemoor.serving.quarantine import PATH, QuarantinePage
+from greengagemoor.serving.quarantine import QUARANTINE_PATH, QuarantinePage
 from tests.test_serving.helpers import Caller, Metrics
 
 KEYS = tuple(SearcherKey(name, 7) for name in "abc")
@@ -23,14 +23,14 @@
 class TestPage:
     """Calls to ``/quarantine``, which is served beside the metrics."""
 
-    def call(self, method, path=PATH, body=b""):
+    def call(self, method, path=QUARANTINE_PATH, body=b""):
         table = SuspectTable()
         for row in (SUSPECT, QUARANTINED, WATCHED):
             table.join(row)
         self.messages = []
         page = QuarantinePage(Metrics(), table, self.messages.append)
         caller = Caller()
-        page.take(HttpRequest(method, path, [], body, 0.0, caller))
+        page.handle_request(HttpRequest(method, path, [], body, 0.0, caller))
         return caller
 
     def test_list(self):
