--- a/bench/gathers.py
+++ b/bench/gathers.py
@@ -60,7 +60,7 @@
         in_time: answers within the objective.
         whole: answers that include all shards.
         credit: sum over answers of the squared coverage, reduced if late.
-        attempts: attempts.
+        attempts: attempts sent, hedges and retries included.
         needed_attempts: shards of all requests, each of which needs one
             attempt.
     """
--- a/greengagemoor/forward/tables.py
+++ b/greengagemoor/forward/tables.py
@@ -140,7 +140,7 @@
     Attributes:
         soft_deadline: from then on an answer with sufficient coverage is given
             at once.
-        deadline: deadline of the answer.
+        deadline: when the request ends at the latest.
         answered, given_up: numbers of such legs. They are counters because,
             with 60 shards, each of 60 answers would scan all legs.
         ended_searchers: searchers that seem to have ended while running it.
