--- a/greengagemoor/aio/requests.py
+++ b/greengagemoor/aio/requests.py
@@ -21,6 +21,9 @@
         target: path and query, as received.
         headers: names and values in the order received, case unchanged.
         arrived_at: loop time of the first byte, in seconds.
+        conn: connection for the reply; None in a copy of a request that another
+            entry shares.
+        token: id that the handler assigns; 0 until then.
         is_first: whether it is the first request of its connection.
     """
 
--- a/greengagemoor/aio/server.py
+++ b/greengagemoor/aio/server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 server for callers."""
+"""HTTP/1.1 server: listens on an address and tracks its connections."""
 
 from __future__ import annotations
 
--- a/greengagemoor/aio/sockets.py
+++ b/greengagemoor/aio/sockets.py
@@ -15,8 +15,8 @@
 TCP_INFO_RTT = struct.Struct("68xI")
 """Position of ``tcpi_rtt``, in microseconds, in Linux's ``tcp_info``."""
 BACKLOG = 1024
-"""Connections waiting to be accepted: ten seconds of the load of a site with
-100 requests a second, if only one entry runs."""
+"""Connections waiting to be accepted: ten seconds at 100 requests a second, if
+only one entry runs."""
 
 
 def listen(address: str) -> socket.socket:
--- a/greengagemoor/feed/hub.py
+++ b/greengagemoor/feed/hub.py
@@ -37,9 +37,9 @@
 
     Each entry subscribes to every control instance, so a change crosses each
     link once, and control instances need not agree on a searcher: the entry
-    keeps the row with the highest sequence. Control instances also subscribe
-    to each other; the rows received this way go to entries that subscribe
-    later.
+    keeps the row with the latest start and, of those, the highest sequence.
+    Control instances also subscribe to each other; the rows received this way
+    go to entries that subscribe later.
     """
 
     def __init__(self, timing: Timing, name: str = ""):
--- a/greengagemoor/feed/slowness.py
+++ b/greengagemoor/feed/slowness.py
@@ -10,6 +10,7 @@
     from greengagemoor.feed.messages import SearcherKey
 
 SLICE_S = 0.2
+"""Length of a slice of time; several reports in one slice count once."""
 WINDOW_SLICES = 7
 MIN_SLICES = 5
 """Slices with a report, among the last ``WINDOW_SLICES``, from which on a
@@ -35,7 +36,7 @@
 
     With many entries, each sends to a given searcher only every few seconds. If
     each entry had to detect a slow searcher by itself, each would pay with a
-    late shard or a second send.
+    late shard or a hedge.
     """
 
     def __init__(self):
--- a/greengagemoor/feed/suspects.py
+++ b/greengagemoor/feed/suspects.py
@@ -138,7 +138,7 @@
         return True
 
     def drop(self, fingerprint: bytes) -> None:
-        """Removes a row that no other process has received."""
+        """Removes a row here; unlike clearing it, this affects no others."""
         for rows in self._rows.values():
             rows.pop(fingerprint, None)
 
--- a/greengagemoor/feed/view.py
+++ b/greengagemoor/feed/view.py
@@ -48,9 +48,18 @@
 class FeedView:
     """Searchers and document as known to this entry.
 
-    The row of a searcher with the highest sequence takes precedence,
-    whichever control instance sent it. An incarnation that has ended stays
-    ended: a ready row of it that arrives later was delayed.
+    The row of a searcher with the latest start and, of those, the highest
+    sequence takes precedence, whichever control instance sent it. An
+    incarnation that is gone stays gone: a ready row of it that arrives later
+    was delayed.
+
+    Attributes:
+        me: subscription of this entry, as sent to control instances.
+        number: number of the newest document received; 0 if there is none.
+        entries: highest number of entries reported by a control instance, at
+            least 1.
+        peers: peer addresses of the control instances.
+        leaving: whether this entry is no longer listed to callers.
     """
 
     def __init__(
@@ -241,8 +250,8 @@
             except ValueError as exc:
                 # The difference applies to the document at the time of the
                 # request, which may have been replaced since.
-                refusal = m.DifferenceRejected(sender, msg.number, str(exc))
-                self._out.append(refusal)
+                rejection = m.DifferenceRejected(sender, msg.number, str(exc))
+                self._out.append(rejection)
                 self._needs_whole = True
                 self._fetch = None
                 return
@@ -305,9 +314,9 @@
         """Asks until a quorum has confirmed which document is current.
 
         The request names the newest document that any control instance has,
-        as it is being fetched from one of them already. Otherwise each of nine
-        control instances would send the whole document to each entry after a
-        power loss.
+        as it is being fetched from one of them already. Otherwise, after a
+        power loss, the leader would send each entry the whole document a second
+        time.
         """
         if self._confirmed_at is not None or not self._reads.is_due(self._now):
             return
--- a/greengagemoor/serving/dialect.py
+++ b/greengagemoor/serving/dialect.py
@@ -28,7 +28,7 @@
 
 @values.frozen
 class RequestInfo:
-    """Host, id, deadline and client account of a caller's request.
+    """Host, id, remaining wait and client account of a caller's request.
 
     Attributes:
         remaining_wait_s: time until the caller gives up, None if it isn't
--- a/greengagemoor/serving/durable_state.py
+++ b/greengagemoor/serving/durable_state.py
@@ -83,7 +83,11 @@
         self._folder: DataFolder | None = None
 
     async def open(self) -> Opened:
-        """Opens the folder; retries until the disk accepts writes."""
+        """Opens the folder; retries until the disk accepts writes.
+
+        A folder that is damaged, or has another owner or format, is emptied and
+        opened as a new one.
+        """
         await self.close()
         loop = asyncio.get_running_loop()
         while True:
--- a/greengagemoor/serving/entry.py
+++ b/greengagemoor/serving/entry.py
@@ -52,8 +52,8 @@
     from greengagemoor.serving.settings import ServingSettings
 
 RETRY_BUDGET_SHARE = 0.85
-"""Share of the allowed second sends that is used. The rest is a margin: a stall
-of the network moves requests and their repeats into different windows."""
+"""Share of the allowed retries and hedges that is used. The rest is a margin: a
+stall of the network moves requests and their retries into different windows."""
 SWEEP_INTERVAL_S = 1.0
 KEEP_SERVING_SHARE = 0.6
 """Share of the grace time in which a leaving entry still accepts requests."""
--- a/greengagemoor/serving/operators.py
+++ b/greengagemoor/serving/operators.py
@@ -207,7 +207,7 @@
                 raise TypeError("active is not a boolean")
         except (ValueError, KeyError, TypeError) as exc:
             open_calls.answer(
-                req, _json(400, {"error": f"malformed order: {exc!r}"})
+                req, _json(400, {"error": f"malformed evacuation: {exc!r}"})
             )
             return
         fault = self._operators.data_centre_fault(call.data_centre)
@@ -216,7 +216,7 @@
                 req, _json_with_code(Code.INVALID, {"error": fault})
             )
         else:
-            self._operators.evacuate(req, call, _write_order_result)
+            self._operators.evacuate(req, call, _write_evacuation_result)
 
 
 def _write_rows(reply: OpReply) -> Reply:
@@ -231,7 +231,7 @@
     return _json_with_code(Code(reply.code), {"evacuations": rows})
 
 
-def _write_order_result(reply: OpReply) -> Reply:
+def _write_evacuation_result(reply: OpReply) -> Reply:
     return _json_with_code(Code(reply.code), {"number": reply.version})
 
 
--- a/greengagemoor/serving/request_log.py
+++ b/greengagemoor/serving/request_log.py
@@ -15,7 +15,7 @@
 """Lines a second for requests that went as expected: twice the rate of an entry
 under normal load. Above it the lines are a sample."""
 OTHERS_PER_S = 400.0
-"""Lines a second for all other requests: ten of them with all steps."""
+"""Lines a second for all other requests: enough for ten with all steps."""
 BURST_S = 2.0
 """Lines of this many seconds, at the rates above, may be written at once."""
 DROPPED_INTERVAL_S = 1.0
--- a/greengagemoor/serving/settings.py
+++ b/greengagemoor/serving/settings.py
@@ -31,9 +31,9 @@
         grace_s: time from SIGTERM until the platform ends the process.
         catch_up_s: time from the start of a control instance within which the
             group must tolerate a further loss.
-        retry_ratio: second sends allowed per request, over all entries.
-        retry_slack: second sends allowed in addition, of all entries to one
-            service in each window.
+        retry_ratio: retries and hedges allowed per request, over all entries.
+        retry_slack: retries and hedges allowed in addition, of all entries to
+            one service in each window.
         retry_window_s: length of that window.
         link_bytes_per_s: capacity of this process's network link, 0 if not
             given.
--- a/tests/test_aio/test_links.py
+++ b/tests/test_aio/test_links.py
@@ -110,7 +110,7 @@
         run(main())
 
     def test_large_batch_is_compressed(self):
-        """Rows of searchers sent to entries were a fifth of all bytes."""
+        """Uncompressed rows of searchers were a fifth of all bytes sent."""
 
         async def main():
             server, one, client, two = await linked_pair()
@@ -186,9 +186,9 @@
 class TestRemovedAddresses:
     """Addresses of replaced control instances are no longer dialled.
 
-    Each new list of addresses was added to the earlier ones, so every process
-    kept dialling replaced instances about once a second until it ended: with
-    200 processes and a few replacements a day that load only grows.
+    Guards against adding each new list of addresses to the earlier ones: every
+    process would dial replaced instances about once a second until it ends, and
+    with 200 processes and a few replacements a day that load only grows.
     """
 
     def test_removed_address_is_not_dialled(self, monkeypatch):
--- a/tests/test_feed/test_documents.py
+++ b/tests/test_feed/test_documents.py
@@ -106,8 +106,8 @@
         bad = m.NumberedDocument(9, whole.packed[:-3] + b"abc", 7)
         view, out = self.view_and_output(bad)
         assert accepted(out) == []
-        (refusal,) = [x for x in out if isinstance(x, m.DifferenceRejected)]
-        assert (refusal.source, refusal.number) == ("c1", 9)
+        (rejection,) = [x for x in out if isinstance(x, m.DifferenceRejected)]
+        assert (rejection.source, rejection.number) == ("c1", 9)
         assert Send("c1", m.WantNumbered(0)) in out
         assert view.view.number == 7
 
--- a/tests/test_serving/test_entry.py
+++ b/tests/test_serving/test_entry.py
@@ -85,10 +85,11 @@
 class TestStop:
     """An entry that stops aborts no request.
 
-    An entry read a request 3.6 s after SIGTERM, forwarded it, and closed the
-    connection 28 ms later without an answer. It had just closed its listening
-    socket, saw no connection, waited a last 20 ms and ended; a connection that
-    the kernel had accepted at that moment appeared a turn of the loop later.
+    Guards against a lost answer: an entry read a request 3.6 s after SIGTERM,
+    forwarded it, and closed the connection 28 ms later without an answer. It
+    had just closed its listening socket, saw no connection, waited a last 20 ms
+    and ended; a connection that the kernel had accepted at that moment appeared
+    a turn of the loop later.
     """
 
     def test_connection_accepted_while_the_listener_closes(self, monkeypatch):
