--- a/bench/mutant_list.py
+++ b/bench/mutant_list.py
@@ -286,7 +286,7 @@
     Mutant(
         "drain is final within an incarnation",
         "membership/table.py",
-        "    if is_draining and same_incarnation and accepts_work:",
+        "    if is_draining and same_incarnation and before_drain:",
         "    if False:",
         (MEMBERSHIP + "test_announcements.py::TestDrain",),
     ),
--- a/greengagemoor/application.py
+++ b/greengagemoor/application.py
@@ -145,23 +145,23 @@
         if not cfg.is_control:
             return None
         others = {k: v for k, v in group.items() if k != cfg.instance}
-        named = len(others) < len(group) or not group
+        is_listed = len(others) < len(group) or not group
         return ControlDecider(
             self._member_id,
             cfg.peer_address,
             others,
             random.Random(rng.getrandbits(64)),
             ControlTiming(heartbeat=cfg.heartbeat_s, election=cfg.election_s),
-            founders=others if cfg.new_group and named else None,
+            founders=others if cfg.new_group and is_listed else None,
         )
 
     def _connect(self) -> None:
-        give = self._replies.resolve
+        set_reply = self._replies.resolve
         add = self._loop.add_handler
         add(query.Reply, self._handle_reply)
-        add(membership.AnnounceReply, lambda m: give(m.token, m))
-        add(membership.Addresses, lambda m: give(m.token, m))
-        add(Done, lambda m: give(m.token, m))
+        add(membership.AnnounceReply, lambda m: set_reply(m.token, m))
+        add(membership.Addresses, lambda m: set_reply(m.token, m))
+        add(Done, lambda m: set_reply(m.token, m))
         add(query.StartAttempt, self._dispatcher.start_attempt)
         add(query.CancelAttempt, self._dispatcher.cancel_attempt)
         add(control.Send, self._peers.send)
@@ -194,7 +194,7 @@
         if recovered is not None:
             self._loop.put(recovered)
         # Listen before the first message to other instances: once they
-        # consider this one alive, it must not refuse callers' connections.
+        # consider this one live, it must not refuse callers' connections.
         self._http.start()
         self._loop.start()
         log.event(
@@ -249,7 +249,7 @@
         return self._replies.wait(token, fut, wait_s)
 
     def record_gate_refusal(self) -> None:
-        """Counts a refusal at the gate and reports this entry as overloaded.
+        """Counts a request without a slot and reports this entry as overloaded.
 
         Callers are then given other entries.
         """
--- a/greengagemoor/cmd/load.py
+++ b/greengagemoor/cmd/load.py
@@ -65,13 +65,13 @@
 class Sender:
     """A connection that sends its part of the request rate."""
 
-    def __init__(self, at: str, plan: Plan, tally: LoadResults, seed: int):
+    def __init__(self, at: str, plan: Plan, results: LoadResults, seed: int):
         host, _, port = at.rpartition(":")
         self._pool = urllib3.HTTPConnectionPool(
             host, int(port), maxsize=1, retries=False
         )
         self._plan = plan
-        self._tally = tally
+        self._results = results
         self._rng = random.Random(seed)
 
     def run(self, interval: float, until: float) -> None:
@@ -96,7 +96,7 @@
             "body": {"query": self._rng.randrange(plan.distinct)},
         }
         code = self._post(json.dumps(body).encode())
-        self._tally.record(code, time.monotonic() - due)
+        self._results.record(code, time.monotonic() - due)
 
     def _post(self, body: bytes) -> int | None:
         try:
@@ -124,9 +124,9 @@
         seconds: duration of the run.
         connections: number of connections that send concurrently.
     """
-    tally = LoadResults()
+    results = LoadResults()
     until = time.monotonic() + seconds
-    senders = [Sender(at, plan, tally, seed) for seed in range(connections)]
+    senders = [Sender(at, plan, results, seed) for seed in range(connections)]
     threads = [
         threading.Thread(target=s.run, args=(connections / rate, until))
         for s in senders
@@ -135,7 +135,7 @@
         thread.start()
     for thread in threads:
         thread.join()
-    return tally
+    return results
 
 
 def run(
@@ -153,14 +153,14 @@
     deadline_s: Annotated[float, typer.Option(min=0.001)] = 1.0,
     at: Annotated[str, typer.Option(help="IP:PORT of an entry.")] = DEFAULT_AT,
 ) -> None:
-    """Sends lookups at a steady rate; shows result codes and latencies."""
+    """Sends requests at a steady rate; shows result codes and latencies."""
     plan = Plan(service, request_class, callers, distinct, deadline_s)
-    tally = send_load(at, plan, rate, seconds, connections)
-    for code, number in sorted(tally.codes.items()):
+    results = send_load(at, plan, rate, seconds, connections)
+    for code, number in sorted(results.codes.items()):
         typer.echo(f"{code} {Code(code).name}: {number}")
-    typer.echo(f"unreachable: {tally.unreachable}")
+    typer.echo(f"unreachable: {results.unreachable}")
     for quantile in (50, 90, 99, 99.9):
-        value = tally.latency.get_value_at_percentile(quantile) / 1000
+        value = results.latency.get_value_at_percentile(quantile) / 1000
         typer.echo(f"p{quantile:g}: {value:.1f} ms")
 
 
--- a/greengagemoor/errors.py
+++ b/greengagemoor/errors.py
@@ -49,7 +49,7 @@
 
 
 class CorruptRecordError(StorageError):
-    """A synced record does not match its checksum."""
+    """Synced data is damaged or missing."""
 
 
 class SyncFailedError(StorageError):
--- a/greengagemoor/log_analysis/losses.py
+++ b/greengagemoor/log_analysis/losses.py
@@ -14,6 +14,7 @@
 
 SERVED = ("answered", "partial")
 WORST_SECONDS = 10
+"""Seconds listed in the report: those with the largest losses."""
 SENT = ("sent", "sent_beside")
 
 
--- a/greengagemoor/membership/announcements.py
+++ b/greengagemoor/membership/announcements.py
@@ -19,6 +19,7 @@
     from greengagemoor.query.messages import DrainReported
 
 LOAD_STEPS = 4
+"""Steps per unit of load to which a reported load is rounded."""
 
 
 def handle_announcement(state: State, msg: Announce) -> None:
@@ -93,8 +94,8 @@
     if server.order != kept.server.order:
         return server.order < kept.server.order
     is_draining = kept.server.state is ServerState.DRAINING
-    accepts_work = server.state in (ServerState.READY, ServerState.WARMING)
-    state = kept.server.state if is_draining and accepts_work else server.state
+    before_drain = server.state in (ServerState.READY, ServerState.WARMING)
+    state = kept.server.state if is_draining and before_drain else server.state
     renewed = attrs.evolve(server, load=kept.server.load, state=state)
     return renewed != kept.server
 
@@ -125,8 +126,8 @@
     row = state.table.rows.get(server_key(msg.service, msg.name))
     if not isinstance(row, ServerRow):
         return
-    accepting_states = (ServerState.READY, ServerState.WARMING)
+    states_before_drain = (ServerState.READY, ServerState.WARMING)
     same_incarnation = row.server.incarnation == msg.incarnation
-    if same_incarnation and row.server.state in accepting_states:
+    if same_incarnation and row.server.state in states_before_drain:
         draining = attrs.evolve(row.server, state=ServerState.DRAINING)
         state.merge_row(attrs.evolve(row, server=draining))
--- a/greengagemoor/membership/decider.py
+++ b/greengagemoor/membership/decider.py
@@ -35,7 +35,7 @@
 
     A tick runs its steps in a fixed order: receive, probe, suspect, watch,
     freshness, own state, changes. Its cost depends on what changed; a round
-    costs one probe whatever the size of the fleet.
+    sends a few probes at most, whatever the size of the fleet.
     """
 
     def __init__(
@@ -109,6 +109,7 @@
 
 
 LEAVE_NOTICE_PEERS = 4
+"""Peers that are notified at once when this instance leaves or stops."""
 
 
 def _notify_some_peers(state: State) -> None:
--- a/greengagemoor/membership/documents.py
+++ b/greengagemoor/membership/documents.py
@@ -26,20 +26,21 @@
     from greengagemoor.membership.state import State
 
 MAX_DOCUMENT_BYTES = 64_000_000
+"""Largest document accepted from a peer, after decompression."""
 
 
 def handle_peer_version(
     state: State, sender: str, version: int, fresh: Freshness
 ) -> None:
     """Records a peer's freshness, and requests its document if newer."""
-    _take_freshness(state, fresh)
+    _merge_freshness(state, fresh)
     asked_lately = state.now - state.asked_document_at < state.timing.interval
     if version > state.document_version and not asked_lately:
         state.asked_document_at = state.now
         state.send(sender, WantDocument(state.document_version))
 
 
-def _take_freshness(state: State, fresh: Freshness) -> None:
+def _merge_freshness(state: State, fresh: Freshness) -> None:
     if not fresh.group or fresh.group != (state.fresh.group or fresh.group):
         # From another group: an instance that lost its disk and founded a
         # group of its own must not make its empty history look current.
@@ -53,7 +54,7 @@
 def handle_confirmed(state: State, msg: VersionConfirmed) -> None:
     """Records a confirmation from the control role of this instance."""
     term, round_ = msg.stamp
-    _take_freshness(state, Freshness(msg.group, term, round_, msg.version))
+    _merge_freshness(state, Freshness(msg.group, term, round_, msg.version))
 
 
 def handle_accepted(state: State, msg: DocumentAccepted) -> None:
--- a/greengagemoor/membership/gossip.py
+++ b/greengagemoor/membership/gossip.py
@@ -96,7 +96,7 @@
 
 
 def _next_local_peer(state: State) -> str | None:
-    """Returns local peers in shuffled cycles, so that none waits long."""
+    """Returns the next local peer, in shuffled cycles: none waits long."""
     while True:
         if not state.targets:
             state.targets = _shuffled_peers(state)
--- a/greengagemoor/membership/query_updates.py
+++ b/greengagemoor/membership/query_updates.py
@@ -71,9 +71,10 @@
 def connection_share(state: State, server: BackendServer) -> int:
     """Returns how many connections this entry may hold to a server.
 
-    Each place in the document has a fixed part of the cap. It does not depend
-    on which entries are seen as live, so that entries with different views
-    never exceed the cap in sum. The parts of empty places stay unused.
+    Each of the document's ``connection_places`` has a fixed part of the cap.
+    It does not depend on which entries are seen as live, so that entries with
+    different views never exceed the cap in sum. The parts of places without
+    an entry stay unused.
     """
     listed = state.document and state.me.name in state.document.entries
     if not listed or not state.may_hold_shares:
--- a/greengagemoor/membership/server_watch.py
+++ b/greengagemoor/membership/server_watch.py
@@ -20,6 +20,7 @@
 
 DEFAULT_SILENT_AFTER_S = 3.0
 ASK_WAIT_ROUNDS = 1.0
+"""Rounds to wait for other watchers before a silent server is checked again."""
 
 
 def silence_timeout_s(state: State) -> float:
@@ -82,7 +83,7 @@
 
 
 def update_hidden_of(state: State, name: str) -> None:
-    """Evaluates the servers that an instance watches when it changes."""
+    """Updates the hiding of the servers that a changed instance watches."""
     for key in list(state.table.watched_by.get(name, ())):
         update_hidden(state, state.table.rows[key])
 
@@ -146,7 +147,10 @@
 
 
 def _sees_majority(state: State) -> bool:
-    """Whether this instance is not itself the one that is partitioned off."""
+    """Whether at least half of the known instances are live.
+
+    Otherwise this instance itself is probably the one that is partitioned off.
+    """
     live = len(state.table.live_instances)
     gone = sum(key.startswith("i:") for key in state.table.gone_since)
     return live >= gone
--- a/greengagemoor/membership/table.py
+++ b/greengagemoor/membership/table.py
@@ -174,8 +174,8 @@
         return row
     is_draining = kept.server.state is ServerState.DRAINING
     same_incarnation = kept.server.incarnation == row.server.incarnation
-    accepts_work = row.server.state in (ServerState.READY, ServerState.WARMING)
-    if is_draining and same_incarnation and accepts_work:
+    before_drain = row.server.state in (ServerState.READY, ServerState.WARMING)
+    if is_draining and same_incarnation and before_drain:
         server = attrs.evolve(row.server, state=ServerState.DRAINING)
         return attrs.evolve(row, server=server)
     return row
--- a/greengagemoor/metrics.py
+++ b/greengagemoor/metrics.py
@@ -24,6 +24,7 @@
 """Significant digits that the histograms keep."""
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
 MAX_ATTEMPTS = 100_000
+"""More attempts for one answer are recorded as this many."""
 MICROSECONDS = 1_000_000
 
 
--- a/greengagemoor/node.py
+++ b/greengagemoor/node.py
@@ -155,13 +155,13 @@
         if self._next_read_at is None or self._now < self._next_read_at:
             return
         self._next_read_at = None
-        ask = OperationRequest(
+        operation = OperationRequest(
             token=_ReadToken(),
             kind=OpKind.READ,
             deadline=self._now + READ_WAIT_S,
             known_version=self.membership.state.document_version,
         )
-        inboxes.client.append(ask)
+        inboxes.client.append(operation)
 
     def _route_in(self, msg: object, inboxes: _Inboxes) -> None:
         if isinstance(msg, Received):
@@ -195,9 +195,9 @@
                 self._claims.claim_operation(me, self._now, msg)
             )
         elif isinstance(msg, query.RecordOutcomeWanted):
-            ask = self._claims.outcome_operation(self._now, msg)
-            if ask is not None:
-                inboxes.client.append(ask)
+            operation = self._claims.outcome_operation(self._now, msg)
+            if operation is not None:
+                inboxes.client.append(operation)
         elif isinstance(msg, Done):
             self._route_done(msg, inboxes)
         else:
@@ -239,9 +239,9 @@
             self._handle_read(msg, inboxes)
         elif isinstance(msg.token, ClaimToken):
             inboxes.query.append(self._claims.to_claim_decided(msg))
-            ask = self._claims.release_operation(self._now, msg)
-            if ask is not None:
-                inboxes.client.append(ask)
+            operation = self._claims.release_operation(self._now, msg)
+            if operation is not None:
+                inboxes.client.append(operation)
         elif not isinstance(msg.token, OutcomeToken):
             self._out.append(msg)
 
--- a/greengagemoor/query/choosers.py
+++ b/greengagemoor/query/choosers.py
@@ -63,21 +63,21 @@
 
 @choosers.register("random")
 def choose_random(
-    choice: PlacementInput, shards: Iterable[int]
+    inputs: PlacementInput, shards: Iterable[int]
 ) -> dict[str, list[int]]:
     """Places each shard on a random holder; a baseline for comparison."""
     plan: dict[str, list[int]] = {}
     for shard in shards:
-        holders = choice.snapshot.holders.get(shard)
+        holders = inputs.snapshot.holders.get(shard)
         if holders:
-            name = choice.rng.choice(list(holders))
+            name = inputs.rng.choice(list(holders))
             plan.setdefault(name, []).append(shard)
     return plan
 
 
 @choosers.register("least_cost")
 def choose_least_cost(
-    choice: PlacementInput, shards: Iterable[int]
+    inputs: PlacementInput, shards: Iterable[int]
 ) -> dict[str, list[int]]:
     """Places shards on few searchers with room and the least expected cost.
 
@@ -87,14 +87,14 @@
     plan: dict[str, list[int]] = {}
     costs: dict[str, float] = {}
     for shard in sorted(shards):
-        holders = choice.snapshot.holders.get(shard)
+        holders = inputs.snapshot.holders.get(shard)
         if not holders:
             continue
         name = _planned_holder(
-            plan, holders, choice.tried_searchers.get(shard, ())
+            plan, holders, inputs.tried_searchers.get(shard, ())
         )
         if name is None:
-            name = _cheapest(choice, holders, shard, costs)
+            name = _cheapest(inputs, holders, shard, costs)
         if name is not None:
             plan.setdefault(name, []).append(shard)
     return plan
@@ -110,20 +110,20 @@
 
 
 def _cheapest(
-    choice: PlacementInput,
+    inputs: PlacementInput,
     holders: dict[str, Searcher],
     shard: int,
     costs: dict[str, float],
 ) -> str | None:
     candidates = _candidates(
-        choice, holders, choice.tried_searchers.get(shard, ())
+        inputs, holders, inputs.tried_searchers.get(shard, ())
     )
     if len(candidates) > MAX_COMPARED_HOLDERS:
-        candidates = _sample(choice, candidates)
+        candidates = _sample(inputs, candidates)
     for searcher in candidates:
         if searcher.info.name not in costs:
-            costs[searcher.info.name] = expected_cost(searcher, choice)
-    with_room = [s for s in candidates if choice.has_room(s)]
+            costs[searcher.info.name] = expected_cost(searcher, inputs)
+    with_room = [s for s in candidates if inputs.has_room(s)]
     if not with_room:
         return None
     best = min(with_room, key=lambda s: costs[s.info.name])
@@ -134,15 +134,15 @@
 
 
 def _sample(
-    choice: PlacementInput, candidates: list[Searcher]
+    inputs: PlacementInput, candidates: list[Searcher]
 ) -> list[Searcher]:
     """Samples two candidates, from those with room if there are two."""
-    with_room = [s for s in candidates if choice.has_room(s)]
-    return choice.rng.sample(with_room if len(with_room) > 1 else candidates, 2)
+    with_room = [s for s in candidates if inputs.has_room(s)]
+    return inputs.rng.sample(with_room if len(with_room) > 1 else candidates, 2)
 
 
 def _candidates(
-    choice: PlacementInput, holders: dict[str, Searcher], avoid: Collection[str]
+    inputs: PlacementInput, holders: dict[str, Searcher], avoid: Collection[str]
 ) -> list[Searcher]:
     """Excludes tried and ejected holders unless that would exclude all.
 
@@ -151,34 +151,34 @@
     """
     untried = [s for name, s in holders.items() if name not in avoid]
     eligible = untried or list(holders.values())
-    healthy = [s for s in eligible if s.ejected_until <= choice.now]
+    healthy = [s for s in eligible if s.ejected_until <= inputs.now]
     return healthy or eligible
 
 
-def expected_cost(searcher: Searcher, choice: PlacementInput) -> float:
+def expected_cost(searcher: Searcher, inputs: PlacementInput) -> float:
     """Returns the expected seconds of one more attempt on the searcher."""
-    base = _decayed_latency(searcher, choice)
+    base = _decayed_latency(searcher, inputs)
     cost = base * (1 + searcher.in_flight / limits.max_in_flight(searcher))
     if searcher.in_flight >= searcher.peak_connections:
         cost += searcher.info.connect_cost_s
-    if searcher.info.data_centre != choice.data_centre:
+    if searcher.info.data_centre != inputs.data_centre:
         cost += REMOTE_PENALTY_S
-    age = choice.now - searcher.ready_since
+    age = inputs.now - searcher.ready_since
     if age < limits.SLOW_START_S:
         cost *= 1 + COLD_FACTOR * (1 - age / limits.SLOW_START_S)
     cost *= 1 + LOAD_HINT_WEIGHT * min(1.0, searcher.info.load)
-    return cost * (1 + 0.02 * choice.rng.random())
+    return cost * (1 + 0.02 * inputs.rng.random())
 
 
-def _decayed_latency(searcher: Searcher, choice: PlacementInput) -> float:
+def _decayed_latency(searcher: Searcher, inputs: PlacementInput) -> float:
     """Returns the searcher's latency, decayed to the median while it is unused.
 
     A slow searcher gets no attempts and so no new sample; without the decay it
     would stay unused after it recovered.
     """
-    median = choice.service.latency.quantile(0.5)
+    median = inputs.service.latency.quantile(0.5)
     if median is None or searcher.latency <= median:
         return searcher.latency
-    idle = max(0.0, choice.now - searcher.last_used)
+    idle = max(0.0, inputs.now - searcher.last_used)
     decay = 0.5 ** (idle / limits.IDLE_HALF_LIFE_S)
     return median + (searcher.latency - median) * decay
--- a/greengagemoor/query/completing.py
+++ b/greengagemoor/query/completing.py
@@ -76,7 +76,7 @@
 
 
 def reject_queued(state: State, query: Query, code: Code) -> None:
-    """Rejects a query that has not started; answers every waiter ``code``."""
+    """Rejects a query that has not started; its waiters get ``code``."""
     wait = admission.expected_wait(
         query.service, query.request.caller, query.request_class_rules.priority
     )
--- a/greengagemoor/query/placement.py
+++ b/greengagemoor/query/placement.py
@@ -102,7 +102,7 @@
 def _plan(
     state: State, query: Query, shards: Iterable[int]
 ) -> dict[str, list[int]]:
-    choice = PlacementInput(
+    inputs = PlacementInput(
         service=query.service,
         snapshot=query.service.snapshots[query.snapshot],
         now=state.now,
@@ -111,7 +111,7 @@
         tried_searchers=query.tried_searchers,
         paused=query.paused_until,
     )
-    return choosers.get(query.request_class_rules.chooser)(choice, shards)
+    return choosers.get(query.request_class_rules.chooser)(inputs, shards)
 
 
 def _start_planned(
--- a/greengagemoor/query/requests.py
+++ b/greengagemoor/query/requests.py
@@ -148,24 +148,24 @@
         request.key,
         request.body,
     )
-    flight = query.service.queries_by_join_key.get(key)
-    if flight is None or flight.phase is Phase.DONE:
+    existing = query.service.queries_by_join_key.get(key)
+    if existing is None or existing.phase is Phase.DONE:
         query.join_key = key
         return False
-    _attach_waiter(state, flight, query.waiters[request.token])
+    _attach_waiter(state, existing, query.waiters[request.token])
     return True
 
 
-def _attach_waiter(state: State, flight: Query, waiter: Waiter) -> None:
-    flight.waiters[waiter.token] = waiter
-    flight.deadline = max(flight.deadline, waiter.deadline)
-    state.tables.queries_by_token[waiter.token] = flight
+def _attach_waiter(state: State, existing: Query, waiter: Waiter) -> None:
+    existing.waiters[waiter.token] = waiter
+    existing.deadline = max(existing.deadline, waiter.deadline)
+    state.tables.queries_by_token[waiter.token] = existing
     state.tables.set_timer(waiter.deadline, TimerKind.WAITER, waiter.token)
     state.counters.joined += 1
 
 
 def _make_room(state: State, query: Query) -> None:
-    """Displaces a query of the caller with the most from a full queue."""
+    """Displaces a query from a full queue: its ``displacement_candidate``."""
     queue = query.service.queue
     if len(queue) < query.request_class_rules.max_queue:
         return
--- a/greengagemoor/query/tables.py
+++ b/greengagemoor/query/tables.py
@@ -40,9 +40,10 @@
         adaptive: whether ``limit`` bounds its attempts in flight below
             ``share``.
         latency: moving average, in seconds.
-        failures, sheds: consecutive failed and shed attempts.
+        consecutive_failures, consecutive_sheds: failed and shed attempts
+            since its last answer.
         limit_cut_at: time at which a shed attempt last lowered ``limit``.
-        connections: most attempts in flight so far, taken as the number of
+        peak_connections: most attempts in flight so far, taken as the number of
             open connections.
     """
 
@@ -90,7 +91,7 @@
 
 @attrs.define(eq=False)
 class ServiceRow:
-    """A service: its rules, searchers, snapshots, queue and measurements."""
+    """A service: its settings, searchers, snapshots, queue, measurements."""
 
     settings: Service
     searchers: dict[str, Searcher] = attrs.field(factory=dict)
--- a/greengagemoor/shell/attempt_dispatch.py
+++ b/greengagemoor/shell/attempt_dispatch.py
@@ -199,7 +199,7 @@
             return pool
 
     def _close_idle_pools(self) -> None:
-        """Closes idle pools, oldest first, as searchers come and go."""
+        """Closes idle pools, oldest first, to stay below ``MAX_POOLS``."""
         idle = (a for a in self._pools if not self._running_by_address.get(a))
         while len(self._pools) >= MAX_POOLS:
             address = next(idle, None)
--- a/greengagemoor/storage/store.py
+++ b/greengagemoor/storage/store.py
@@ -22,6 +22,7 @@
 
     from greengagemoor.storage.folder import DataFolder
 
+# Kind of a record: the first byte of its payload.
 HARD = b"H"
 ENTRY = b"E"
 MARK = b"M"
--- a/greengagemoor/util/checks.py
+++ b/greengagemoor/util/checks.py
@@ -17,7 +17,10 @@
 
 
 def is_name(_: Any, attribute: attrs.Attribute, value: str) -> None:
-    """Rejects all but 1 to 64 letters, digits, dots, dashes, underscores."""
+    """Rejects all but 1 to 64 letters, digits, dots, dashes, underscores.
+
+    The first character must be a letter or a digit.
+    """
     if not NAME_PATTERN.fullmatch(value):
         raise ValueError(f"{attribute.name}: {value[:80]!r} is not a name")
 
