--- a/greengagemoor/document.py
+++ b/greengagemoor/document.py
@@ -39,10 +39,23 @@
     """Rules for one kind of request; times in seconds.
 
     Attributes:
+        repeatable: whether a request may be sent more than once; if not, it is
+            claimed in the ledger before it is sent.
         least_coverage: least share of the needed shards, from 0 to 1, with
             which an answer is given.
+        cut_after_s: time from the start of its run until ``cut_at_tail``
+            answers if the least coverage is reached; 0 takes a multiple of the
+            service's tail latency.
+        hedge_quantile: quantile of the service's latencies after which an
+            attempt counts as late.
         hedge_budget, retry_budget: shards that may be hedged, or retried, per
             shard that is asked for the first time.
+        max_queue: queued queries of the service from which on a request must
+            displace one or is rejected.
+        refuse_late: whether a request is rejected if it is expected to miss
+            its deadline.
+        join_equal: whether a request joins an equal one in flight.
+        share_answers: whether it also joins one of another caller.
     """
 
     name: str = attrs.field(validator=is_name)
@@ -85,7 +98,11 @@
 
 @attrs.frozen
 class AllowedServer:
-    """A backend server that may announce itself for the service."""
+    """A backend server that may announce itself for the service.
+
+    Attributes:
+        connection_cap, slots: upper bounds on the values it announces.
+    """
 
     name: str = attrs.field(validator=is_name)
     connection_cap: int = attrs.field(
@@ -181,7 +198,8 @@
         DocumentError: lists every fault with its JSON path.
     """
     # Importing these modules fills the registries used for validation.
-    from greengagemoor.query import choosers, completion  # noqa: F401
+    from greengagemoor.query import choosers as query_choosers  # noqa: F401
+    from greengagemoor.query import completion  # noqa: F401
 
     try:
         return json_conversion.decode_json(text, Document)
