--- a/bench/crashes/__main__.py
+++ b/bench/crashes/__main__.py
@@ -183,7 +183,7 @@
 def main() -> None:
     """Prints the table; each row is the mean of all seeds."""
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else 5
-    print("request: searchers ended in requests, late repeats, middle time of")
+    print("request: searchers ended in requests, late repeats, median time of")
     print("its answer in ms, others served, in the last 4 s, others refused")
     for scenario in SCENARIOS:
         results = Results()
--- a/bench/gathers.py
+++ b/bench/gathers.py
@@ -41,9 +41,12 @@
 )
 
 TAIL_SHARE = 0.01
+"""Share of attempts that take ``TAIL_FACTOR`` times as long."""
 TAIL_FACTOR = 5.0
 WORK_SIGMA = 0.35
+"""Standard deviation of the logarithm of work times."""
 QUEUE_LIMIT = 30
+"""Most attempts in the queue of a searcher; it rejects further ones."""
 ONE_WAY_S = 0.0015
 """One-way delay between an entry and a searcher."""
 LATE_CREDIT = 0.1
--- a/bench/model.py
+++ b/bench/model.py
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class ServiceKind:
-    """A kind of service of the brief; times in seconds.
+    """A kind of service to simulate; times in seconds.
 
     Attributes:
         far_s: one-way delay between data centres.
--- a/bench/mutant.py
+++ b/bench/mutant.py
@@ -10,7 +10,8 @@
     """A code change that removes one protection.
 
     Attributes:
-        promise: the guarantee that it protects, as docs/PROOFS.md names it.
+        promise: the guarantee that it protects, most with a detail after a
+            colon.
         file: path below greengagemoor/.
         old: text to replace; must occur exactly once in the file.
         new: replacement.
--- a/bench/searchers.py
+++ b/bench/searchers.py
@@ -23,10 +23,14 @@
 BASE_WORK_S = 0.008
 WORK_PER_SHARD_S = 0.004
 WORK_SIGMA = 0.35
+"""Standard deviation of the logarithm of work times."""
 QUEUE_PER_SLOT = 4
 COLD_S = 4.0
+"""Time in which the factor on work times after a cold start falls from
+``COLD_FACTOR`` to 1."""
 COLD_FACTOR = 6.0
 SHED_RETRY_S = 0.05
+"""Retry delay that a searcher reports with each attempt that failed."""
 
 
 def mean_work_s(shards: int) -> float:
--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -76,7 +76,7 @@
     tracemalloc.stop()
     rows = SuspectRows(table.rows(*Standing))
     print(
-        f"{2 * SUSPECTS} requests told: {len(table)} rows kept, "
+        f"{2 * SUSPECTS} requests reported: {len(table)} rows kept, "
         f"{memory / 1e6:.2f} MB, {len(codec.encode(rows)) / 1e3:.0f} KB on disk"
     )
 
--- a/examples/embed_membership.py
+++ b/examples/embed_membership.py
@@ -1,4 +1,4 @@
-"""Embeds the membership part without a daemon, for two processes.
+"""Embeds the membership decider without a daemon, for two processes.
 
 Shows the contract of a decider: it receives messages and the time and returns
 messages, which the embedding program delivers. Prints the membership that the
--- a/soak/cluster.py
+++ b/soak/cluster.py
@@ -248,7 +248,7 @@
             )
 
     def check_exits(self) -> None:
-        """Checks that no process has exited by itself; restarts those."""
+        """Checks that no process exited by itself; restarts any that did."""
         for machine in self.machines:
             code = machine.process.poll()
             if code is not None:
--- a/tests/test_bench/test_experiment.py
+++ b/tests/test_bench/test_experiment.py
@@ -15,8 +15,8 @@
 from greengagemoor.forward import selection
 
 
-def figures(credit, owed=100):
-    return Figures(requests=owed, credit=credit)
+def figures(credit, request_count=100):
+    return Figures(requests=request_count, credit=credit)
 
 
 class TestCompare:
--- a/tests/test_control/test_joining.py
+++ b/tests/test_control/test_joining.py
@@ -64,7 +64,7 @@
         fleet.run_until(lambda: is_voter(fleet, "c6"), most=3.0)
 
     def test_only_one_seed_is_reachable(self):
-        """It can reach one follower; the leader can reach it."""
+        """The newcomer reaches only one follower, but the leader reaches it."""
         fleet = start_group(FIVE)
         seed = next(n for n in FIVE if n != fleet.leader())
         add_newcomer(fleet, "c6", [seed])
@@ -130,7 +130,7 @@
         fleet.run_until(lambda: is_voter(fleet, "c6"), most=20.0)
 
     def test_votes_within_three_heartbeats(self):
-        """It is a voter within three heartbeats of its start."""
+        """The newcomer is a voter within three heartbeats of its start."""
         for seed in range(1, 11):
             fleet = start_group(FIVE, seed)
             seeds = [n for n in FIVE if n != fleet.leader()][:2]
@@ -140,7 +140,7 @@
             assert took <= 3 * heartbeat
 
     def test_seeds_change_before_it_starts(self):
-        """All instances in its first settings are gone."""
+        """All instances in the newcomer's first settings are gone."""
         fleet = start_group(FIVE)
         add_newcomer(fleet, "c6", ["gone-1", "gone-2"])
         fleet.kill("c6")
@@ -157,7 +157,7 @@
         fleet.run_until(lambda: is_voter(fleet, "c6"), most=1.0)
 
     def test_seeds_change_for_a_removed_member(self):
-        """While it is partitioned, all members that it knew are replaced."""
+        """All other members are replaced while this one is partitioned."""
         fleet = start_group(FIVE)
         lone = next(n for n in FIVE if n != fleet.leader())
         fleet.cut_off(lone)
--- a/tests/test_forward/helpers.py
+++ b/tests/test_forward/helpers.py
@@ -93,10 +93,14 @@
             out += self.step(after=tick)
         return out
 
-    def arrive(self, route, patience=None, fingerprint=b""):
+    def arrive(self, route, remaining_wait_s=None, fingerprint=b""):
         self.tokens += 1
         msg = m.Arrived(
-            self.tokens, f"r{self.tokens}", route, patience, fingerprint
+            self.tokens,
+            f"r{self.tokens}",
+            route,
+            remaining_wait_s,
+            fingerprint,
         )
         return self.step(msg)
 
--- a/tests/test_forward/test_cold_start.py
+++ b/tests/test_forward/test_cold_start.py
@@ -21,6 +21,8 @@
 from tests.test_forward.helpers import Bench, answers, single, starts
 
 OVERAGE, SLACK = 1.5, 5
+"""In any second all entries together send at most the rate times ``OVERAGE``
+plus ``SLACK``."""
 COLD_S = 6.0
 TICK_S = 0.05
 RULES = ServiceRules("s0", 40, cold_for_s=3.0, cold_per_s=20.0)
--- a/tests/test_forward/test_crash_machine.py
+++ b/tests/test_forward/test_crash_machine.py
@@ -1,4 +1,4 @@
-"""Requests that end searchers, mixed with others and with random faults."""
+"""Requests that crash searchers, mixed with others and random faults."""
 
 from __future__ import annotations
 
--- a/tests/test_forward/test_crashing_requests.py
+++ b/tests/test_forward/test_crashing_requests.py
@@ -1,12 +1,13 @@
-"""Requests that end each searcher that runs them.
+"""Requests that crash each searcher that runs them.
 
 Guards against a gather that arrives repeatedly, at any entry and under a new id
-each time, and ends a searcher of each shard within milliseconds. Retries end a
-second one: most searchers of a service are down for 3 s, and requests of other
-callers fail. To forgo retries is not enough, as each new arrival still reaches
-searchers, so the entries share what they know: ends are counted by incarnation
-of the searcher, whichever entry observed them. After three ends the request is
-sent to one more searcher, once for all entries, before it is rejected.
+each time, and crashes a searcher of each shard within milliseconds. Retries
+crash a second one: most searchers of a service are down for 3 s, and requests
+of other callers fail. To omit retries is not enough, as each new arrival still
+reaches searchers. The entries therefore share their observations: crashes are
+counted by incarnation of the searcher, whichever entry observed them. After
+three crashes the request is sent to one more searcher, once for all entries,
+before it is rejected.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 
 def send_harmful(fleet, route, seconds=40.0, every=(0.8, 2.0)):
-    """Sends the request that ends searchers repeatedly."""
+    """Repeatedly sends the request that crashes searchers."""
     fleet.harmful.add(HARMFUL)
     end = fleet.now + seconds
     while fleet.now < end:
@@ -55,7 +56,7 @@
 
     @pytest.mark.parametrize("seed", range(3))
     def test_few_searchers_end(self, seed):
-        """The first arrival ends one searcher per shard, the trial one more."""
+        """The first arrival crashes one per shard, the trial one more."""
         fleet = Fleet(seed=seed)
         send_harmful(fleet, gather_route(fleet.services))
         assert fleet.crash_counts[HARMFUL] <= len(fleet.services) + 2
@@ -178,7 +179,7 @@
 
 
 class TestInnocent:
-    """Requests during which searchers end by chance are never rejected."""
+    """Requests during which searchers crash by chance are never rejected."""
 
     @pytest.mark.parametrize("seed", range(6))
     def test_third_of_all_searchers_ends_repeatedly(self, seed):
--- a/tests/test_forward/test_decider.py
+++ b/tests/test_forward/test_decider.py
@@ -148,7 +148,7 @@
 
     def test_final_answer_before_the_deadline(self):
         bench = Bench()
-        bench.arrive(single(), patience=0.3)
+        bench.arrive(single(), remaining_wait_s=0.3)
         (end,) = answers(bench.pass_time(0.3))
         assert end.ending is Ending.NO_ANSWER
         assert end.elapsed_s < 0.3
--- a/tests/test_forward/test_evidence.py
+++ b/tests/test_forward/test_evidence.py
@@ -1,4 +1,4 @@
-"""When a broken send is taken as evidence that its searcher has ended."""
+"""When a broken send is taken as evidence that its searcher has crashed."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class TestUnconfirmed:
-    """A broken send alone doesn't count as the end of its searcher."""
+    """A broken send alone doesn't count as a crash of its searcher."""
 
     def test_connections_closed_by_running_searchers(self):
         bench = Bench()
@@ -69,7 +69,7 @@
 
 
 class TestConfirmed:
-    """Observations that confirm the end of a searcher."""
+    """Observations that confirm the crash of a searcher."""
 
     def test_nothing_listens_there(self):
         bench = Bench()
@@ -137,7 +137,7 @@
         assert counted_searchers(bench) == []
 
     def test_answer_is_reported_if_others_reported_an_end(self):
-        """Another entry reported an end before this one reported its own."""
+        """Another entry reported a crash before this one reported its own."""
         bench = Bench(services=4)
         sent = starts(bench.arrive(gather(), fingerprint=b"f"))
         bench.end(sent[0], Outcome.BROKEN)
--- a/tests/test_forward/test_parts.py
+++ b/tests/test_forward/test_parts.py
@@ -27,7 +27,9 @@
 SHARDS = 30
 ROUTE = gather(SHARDS, least=0.9, objective_s=0.2, time_limit_s=1.0)
 SLOW_LINK = 200_000.0
+"""Rate of an entry's link in bytes per second."""
 BYTES = 2000.0
+"""Size of an answer with its headers."""
 NETWORK_S = 0.001
 
 
--- a/tests/test_forward/test_retry_deferral.py
+++ b/tests/test_forward/test_retry_deferral.py
@@ -1,4 +1,4 @@
-"""Retries within a request during which a searcher ended."""
+"""Retries within a request during which a searcher crashed."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """Retries within one request."""
 
     def test_no_second_send_while_others_may_answer(self):
-        """One shard's searcher ends; the query may be the cause."""
+        """One shard's searcher crashes; the query may be the cause."""
         bench = Bench(services=4)
         sent = starts(bench.arrive(gather()))
         assert not starts(bench.end(sent[0], Outcome.BROKEN))
@@ -31,7 +31,7 @@
         assert len(again) == 2
 
     def test_slow_shards_do_not_defer_a_retry_for_long(self):
-        """One end is weak evidence where all other shards are slow."""
+        """One crash is weak evidence where all other shards are slow."""
         bench = Bench(services=4)
         warm(bench, gather())
         sent = starts(bench.arrive(gather()))
@@ -42,7 +42,7 @@
         assert ended in {one.searcher_id.partition(".")[0] for one in again}
 
     def test_given_up_once_all_sends_have_ended(self):
-        """Guards against a query that ends two searchers of each shard."""
+        """Guards against a query that crashes two searchers of each shard."""
         bench = Bench(services=4)
         sent = starts(bench.arrive(gather()))
         out = [msg for one in sent for msg in bench.end(one, Outcome.BROKEN)]
@@ -58,7 +58,7 @@
         assert again.searcher_id == sent[0].searcher_id
 
     def test_shard_without_a_place_waits_as_well(self):
-        """If sent, it might end one more searcher; it expires instead."""
+        """If sent, it might crash one more searcher; it expires instead."""
         bench = Bench(services=2, searchers=1, cap=10)
         bench.arrive(single())
         sent = starts(bench.arrive(gather(2, least=1.0)))
--- a/tests/test_forward/test_trials.py
+++ b/tests/test_forward/test_trials.py
@@ -87,7 +87,7 @@
         assert again.retry_after_s >= 60.0
 
     def test_second_end_quarantines_in_any_case(self):
-        """Each time another searcher ended as well, running another request."""
+        """In both trials a searcher with another request crashes as well."""
         bench = TrialBench()
         for number in range(2):
             assert bench.standing is Standing.SUSPECT
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -31,7 +31,7 @@
 
 
 def all_in_state(fleet, names, state: str) -> bool:
-    """Whether all nodes have this state in their own rows."""
+    """Whether all these instances have this state in their own rows."""
     return all(
         fleet.nodes[name].membership.state.me.state.value == state
         for name in names
--- a/tests/test_platform/test_adapter.py
+++ b/tests/test_platform/test_adapter.py
@@ -264,7 +264,7 @@
         ],
     )
     def test_timeout_status_only_at_the_time_limit(self, ending, status):
-        """A caller got a time-out status 5.8 ms after searchers ended.
+        """Guards against a time-out status 5.8 ms after searchers crashed.
 
         A request that can't reach its coverage ends once too many shards have
         failed, long before its time limit.
--- a/tests/test_serving/test_control.py
+++ b/tests/test_serving/test_control.py
@@ -90,10 +90,10 @@
         ],
     )
     def test_malformed_one_affects_no_other(self, bad):
-        """Valid announcements of the same tick were lost.
+        """Guards against losing the valid announcements of the same tick.
 
-        Field types were not checked: an announcement whose address was a list
-        was read as a row, and the tick that looked the address up failed.
+        If field types are not checked, an announcement whose address is a list
+        is read as a row, and the tick that looks the address up fails.
         """
         odd = json.dumps({**BEAT, **bad}).encode()
         app, statuses = play([self.GOOD, odd, self.GOOD])
@@ -116,11 +116,11 @@
     DRAINS = json.dumps({**BEAT, "state": "draining"}).encode()
 
     def test_acknowledges_nothing_without_linked_entries(self):
-        """Entries went on sending to a searcher whose drain was acknowledged.
+        """Guards against sends to a searcher whose drain was acknowledged.
 
         A control instance accepts announcements from its start, but entries
-        link to it only once it is a member. It answered a drain with 200 in
-        1 ms, as there was no entry to wait for, and all entries regarded the
+        link to it only once it is a member. If it answered a drain with 200
+        in 1 ms, as there is no entry to wait for, all entries would regard the
         searcher as ready until its silence time-out.
         """
         _, statuses = play([self.GOOD, self.DRAINS], member_without_group())
@@ -137,7 +137,7 @@
         assert statuses == [[200]]
 
     def test_forwards_to_members_named_in_a_join_reply(self):
-        """Operators' calls were forwarded to the seeds only, whoever led."""
+        """Guards against forwarding operators' calls to the seeds only."""
         leader = Member("10.0.0.9#a", "10.0.0.9", "10.0.0.9:7740", voter=True)
         reply = JoinReply("group", "10.0.0.3#a", False, "10.0.0.9#a", (leader,))
         app, _ = play([], member_without_group(), Received("10.0.0.3", reply))
--- a/tests/test_util/test_difference.py
+++ b/tests/test_util/test_difference.py
@@ -15,7 +15,7 @@
 
 
 class TestRoundTrip:
-    """What was packed comes out, whatever the two texts are."""
+    """Unpacking returns the packed text, whatever the two texts are."""
 
     @given(st.binary(max_size=600), st.binary(max_size=600))
     def test_any_bytes(self, old, new):
@@ -37,7 +37,7 @@
 
 
 class TestDamage:
-    """Nothing else than the text that was packed ever comes out."""
+    """Unpacking fails rather than return another text."""
 
     PACKED = difference.pack(TEXT[:50_000], TEXT[10:50_010])
 
