--- a/greengagemoor/control/decider.py
+++ b/greengagemoor/control/decider.py
@@ -127,8 +127,8 @@
     def contacts(self) -> dict[str, str]:
         """Returns peer addresses of control instances, by instance.
 
-        In a group, those of its members; outside one, those of every
-        instance that may know a group.
+        While this member asks to join, those of every instance that may know
+        a group; otherwise those of the group's members.
         """
         if self.is_joining:
             return joining.contacts(self.state)
@@ -153,7 +153,7 @@
             joining.replace_peers(state, msg)
 
     def _record_sender(self, msg: m.Received) -> None:
-        """Outside a group, records the address of a sender that is a member.
+        """While asking to join, records the address of a sender in a group.
 
         The message may be addressed to the identity that this instance had
         before it lost its disk. The sender may be the only member this instance
--- a/greengagemoor/control/disk_writes.py
+++ b/greengagemoor/control/disk_writes.py
@@ -18,7 +18,13 @@
 
 @values.frozen
 class AwaitingSync:
-    """A message, or the member's own vote, that must wait for a sync."""
+    """A message, or the member's own vote, that must wait for a sync.
+
+    Attributes:
+        op: operation that must be synced first; set by ``flush``.
+        send: the message; None for the own vote.
+        vote_term: term of the own vote.
+    """
 
     op: int
     send: Send | None = None
@@ -34,6 +40,9 @@
         synced_op: last operation known to be synced.
         synced_index: last log index known to be synced.
         unsynced: (op, last log index) of operations not yet synced.
+        hard_state_changed, entries, snapshot: writes not handed over yet.
+        awaiting_sync: items that wait for the sync of an operation.
+        new_awaiting_sync: items whose operation is not handed over yet.
     """
 
     op: int = 0
--- a/greengagemoor/control/state.py
+++ b/greengagemoor/control/state.py
@@ -152,8 +152,15 @@
         peers: addresses of the other control instances in the settings.
         founders: addresses of the instances with which this one may found a
             group; None if it may not.
+        members_index: log index of the entry that set ``members``; if it is
+            trimmed, that of the last trimmed entry.
         members_reason: why ``members`` last changed, for operators.
         reported_members: the list last reported by ``MembersChanged``.
+        round: number of the last broadcast.
+        term_start_index: log index of the first entry of the leader's term.
+        confirm_at: earliest time of the next ``VersionConfirmed``.
+        confirmed_round: newest round that a majority answered, as last
+            processed.
     """
 
     instance: str
--- a/greengagemoor/forward/answer_delay.py
+++ b/greengagemoor/forward/answer_delay.py
@@ -10,17 +10,17 @@
 """Number of delays kept. Where there are many entries, each of them receives a
 gather about every three seconds."""
 PRIOR_S = 0.012
-"""Least delay assumed, in seconds, until ``KEPT_DELAYS`` delays are known: with
-many entries, each of them receives a dozen gathers a minute. A guess that is
-10 ms too long costs at most a hundredth of each answer that waits; one that is
-too short makes it late."""
+"""Least delay assumed, in seconds, until ``KEPT_DELAYS`` delays are known: for
+about a minute where there are many entries. A guess that is 10 ms too long
+costs at most a hundredth of each answer that waits; one that is too short makes
+it late."""
 USED_QUANTILE = 0.8
 """Quantile of the delays that is used. With the longest delay instead, a single
 stall would shorten the searchers' time in all answers after it."""
 MAX_DELAY_S = 0.06
 """Delays above this, in seconds, are discarded: they come from a freeze of the
-process, which doesn't predict the next delay. Kept, one would make answers omit
-shards for a minute."""
+process, which doesn't predict the next delay. Kept, they would make answers
+omit shards for a minute."""
 MAX_SHARE_OF_OBJECTIVE = 0.15
 """Largest share of a route's objective that the margin may take, so that fast
 routes leave most of it to their searchers."""
--- a/greengagemoor/forward/arrivals.py
+++ b/greengagemoor/forward/arrivals.py
@@ -55,15 +55,15 @@
 
 
 def _create_request(tables: Tables, msg: Arrived) -> Request:
-    """Creates the request's row, with the times by which it must end."""
+    """Creates the request with its deadlines, and a leg for each service."""
     route = msg.route
     now = tables.now
     waited = 0.0
     overhead = _caller_overhead_s(tables, msg)
     deadline = now + route.time_limit_s - END_MARGIN_S
     if msg.remaining_wait_s is not None:
-        # A caller that retries sends a shorter deadline than others on this
-        # route; the difference is the time that it has already waited.
+        # A caller that retries states a shorter remaining wait than others on
+        # this route; the difference is the time that it has already waited.
         longest = max(
             tables.max_remaining_wait_s.get(route.name, 0.0),
             msg.remaining_wait_s,
@@ -75,7 +75,7 @@
     left -= tables.answer_delay.margin_s(route.objective_s)
     if left <= 0:
         # The objective is missed already: a complete answer is worth waiting
-        # for one more objective.
+        # for as long as the whole objective again.
         left = route.objective_s
     request = Request(
         token=msg.token,
--- a/greengagemoor/forward/claiming.py
+++ b/greengagemoor/forward/claiming.py
@@ -28,8 +28,8 @@
 """Seconds until a release fails. No request waits for it, and by then a new
 leader has been elected."""
 FIRST_OPERATION_ID = 1 << 32
-"""First operation id; keeps them distinct from those of this entry's reads of
-the document."""
+"""First operation id of claims and releases; keeps their ids distinct from
+those of this entry's reads of the document."""
 
 
 class TrialClaims:
--- a/greengagemoor/forward/delegation.py
+++ b/greengagemoor/forward/delegation.py
@@ -32,8 +32,9 @@
 or more; below that, the round trip to a helper and the time it takes to read
 the part cost as much as they save."""
 MAX_SHARDS_PER_ENTRY = 14
-"""Most shards that one entry queries. With fewer shards each, an answer waits
-for the slowest of more helpers."""
+"""Most shards for each entry if enough helpers are available; a query with at
+most this many is not shared. With fewer shards each, an answer waits for the
+slowest of more helpers."""
 ACK_TIMEOUT_SHARE = 0.2
 MIN_ACK_TIMEOUT_S = 0.012
 MAX_ACK_TIMEOUT_S = 0.04
@@ -145,9 +146,9 @@
 def _check_acknowledged(tables: Tables, part: Part) -> None:
     """Queries the shards from here if the helper has not acknowledged them.
 
-    That counts as a second send of each shard. If much of that budget is used
-    already, the helper is more likely overloaded than unreachable, and this
-    entry keeps waiting for its answer.
+    That counts as a second send of each shard. If much of the retry budget is
+    used already, the helper is more likely overloaded than unreachable, and
+    this entry keeps waiting for its answer.
     """
     if part.is_acknowledged or part.part_id not in tables.parts:
         return
--- a/greengagemoor/forward/messages.py
+++ b/greengagemoor/forward/messages.py
@@ -48,7 +48,8 @@
 
     ``NOT_RUN``: the searcher guarantees that it has not run the request.
     ``NOT_SENT``: no connection was established, so nothing of the request left
-    this process. After ``BROKEN`` the request may have run.
+    this process. ``WRONG_SEARCHER``: another process has the searcher's address
+    and has not run the request. After ``BROKEN`` the request may have run.
     """
 
     ANSWERED = "answered"
--- a/greengagemoor/forward/part_reports.py
+++ b/greengagemoor/forward/part_reports.py
@@ -23,10 +23,10 @@
 def report_results(tables: Tables, request: Request) -> None:
     """Reports all results that were not reported yet, in one message.
 
-    Answers are merged until they are due: sent one by one, they would take as
-    much of the asking entry's link as from the searchers themselves. A shard
-    without an answer is reported at once: if too many have none, the caller is
-    notified early and has time to retry.
+    Answers are held, to be merged, until they are due: sent one by one, they
+    would take as much of the asking entry's link as those of the searchers
+    themselves. A shard without an answer is reported at once: if too many have
+    none, the caller is notified early and has time to retry.
     """
     is_due = tables.now >= request.soft_deadline
     answered = [leg for leg in _unreported(request) if leg.answer is not None]
--- a/greengagemoor/forward/tables.py
+++ b/greengagemoor/forward/tables.py
@@ -37,6 +37,7 @@
     """One incarnation of a searcher, as observed by this entry.
 
     Attributes:
+        cap: most sends of this entry in flight at it.
         others: requests of other entries at the searcher, as it last
             reported; only logged, not used for selection.
         failure_rate: smoothed share of sends that failed.
@@ -94,6 +95,7 @@
         helper: name of the entry that queries the service; empty if this
             entry does.
         dead: no send is in flight and none will follow.
+        broken: a send broke, so a searcher may have run the request.
     """
 
     request: Request
@@ -149,7 +151,7 @@
         is_trial: the only send in flight is that trial.
         is_confirmed: whether a shard may be sent a second request; False while
             another entry may still query the shards itself.
-        is_shared: helpers were asked for some of its legs.
+        is_shared: some of its legs were delegated to helpers.
         helper_sends: sends of helpers beyond the first of each leg.
         origin: the entry that asked for this part; None for a caller's request.
         is_dropped: that entry no longer waits for the part.
@@ -203,6 +205,8 @@
             ``now`` while messages are processed.
         possible_crashes: searchers that broke off a send and may have ended.
         recent_crashes: searchers that did end, latest last.
+        max_remaining_wait_s: longest remaining wait that a caller stated, by
+            route.
         evacuated: data centres whose searchers receive no requests.
         recent_suspects: time and fingerprint of requests that became suspect.
         link_bytes_per_s: bandwidth of this entry's link, 0 if not known.
@@ -212,8 +216,8 @@
         parts: parts delegated to helpers that have not ended, by id.
         origins: parts that this entry runs for others, by entry name and
             part id.
-        unreported: fingerprints of rows to be reported to the control group,
-            and whether others may know the request already.
+        unreported: fingerprints of rows to be reported to the control
+            instances, and whether others may know the request already.
         to_review: fingerprints of requests whose standing may have changed.
     """
 
--- a/greengagemoor/forward/trial_table.py
+++ b/greengagemoor/forward/trial_table.py
@@ -18,7 +18,16 @@
 
 
 class Stage(enum.Enum):
-    """The progress of a trial."""
+    """The progress of a trial.
+
+    Attributes:
+        IDLE: this entry has no claim to the trial.
+        ASKED: its claim waits for a verdict.
+        GRANTED: its claim was granted, and nothing is sent yet.
+        RUNNING: the trial is sent.
+        JUDGED: the trial's connection broke, and its result is being decided.
+        SPENT: no further trial is allowed before ``Trial.until``.
+    """
 
     IDLE = "idle"
     ASKED = "asked"
@@ -35,6 +44,7 @@
     Attributes:
         epoch: epoch of the request's row.
         claim: id of this entry's current claim, unique in this process.
+        number: number of the current trial, from 1.
         until: end of a grant, or of the pause after all trials were spent.
         last_claim: the claim that was sent last.
         held: requests that wait for the trial to end.
--- a/greengagemoor/forward/trials.py
+++ b/greengagemoor/forward/trials.py
@@ -51,6 +51,8 @@
 """Seconds within which a granted trial must begin, and after which a running
 one counts as ended. Other entries wait this long for one that was killed."""
 CLAIM_RETRY_S = 0.1
+"""Seconds until the next claim while another entry's trial is running or the
+control group is unavailable."""
 SPENT_PAUSE_S = 60.0
 """Seconds without further claims once all trials of a request are spent."""
 _NEVER_RAN = (Outcome.NOT_RUN, Outcome.NOT_SENT, Outcome.WRONG_SEARCHER)
