--- a/greengagemoor/control/replication.py
+++ b/greengagemoor/control/replication.py
@@ -28,8 +28,7 @@
 MIN_SNAPSHOT_INTERVAL = 1000
 """Least number of applied entries between two snapshots."""
 ENTRIES_KEPT_BEFORE_SNAPSHOT = 200
-"""Entries before a snapshot that stay in the log, so that members which are
-only slightly behind need no snapshot."""
+"""Entries kept before a snapshot: members slightly behind need no snapshot."""
 
 
 def broadcast(state: State) -> None:
@@ -63,10 +62,8 @@
 
 
 def _send_snapshot(state: State, member_id: str, progress: Progress) -> None:
-    """Sends the snapshot, at most once per election time to each member.
-
-    The pause gives the member time to install it.
-    """
+    """Sends the snapshot, at most once per election time to each member."""
+    # The pause gives the member time to install it.
     if state.now - progress.snapshot_sent_at < state.timing.election:
         return
     progress.snapshot_sent_at = state.now
@@ -286,9 +283,8 @@
 def _snapshot_when_due(state: State) -> None:
     """Takes a snapshot to bound the log, the data folder and restart time.
 
-    A snapshot takes time in proportion to the state. With a large ledger, one
-    is taken after as many entries as the ledger has rows, so the cost per entry
-    stays constant.
+    A snapshot takes time in proportion to the state, so the interval grows with
+    the ledger: the cost per entry stays constant.
     """
     snapshot_index = state.snapshot.index if state.snapshot else 0
     interval = max(MIN_SNAPSHOT_INTERVAL, len(state.machine.ledger))
--- a/greengagemoor/forward/delegation.py
+++ b/greengagemoor/forward/delegation.py
@@ -146,7 +146,7 @@
 def _check_acknowledged(tables: Tables, part: Part) -> None:
     """Queries the shards from here if the helper has not acknowledged them.
 
-    That counts as a second send of each shard. If much of the retry budget is
+    That counts as a retry for each shard. If much of the retry budget is
     used already, the helper is more likely overloaded than unreachable, and
     this entry keeps waiting for its answer.
     """
--- a/greengagemoor/forward/part_receiver.py
+++ b/greengagemoor/forward/part_receiver.py
@@ -117,7 +117,7 @@
 
 
 def allow_second_sends(tables: Tables, peer: str, msg: PartConfirmed) -> None:
-    """Allows second sends to the shards of a part."""
+    """Allows retries and hedges for the shards of a part."""
     request = tables.origins.get((peer, msg.part_id))
     if request is not None:
         request.is_confirmed = True
--- a/greengagemoor/forward/selection.py
+++ b/greengagemoor/forward/selection.py
@@ -23,7 +23,7 @@
 """Multiple of the route's median from which a send counts as slow; 2 of 100
 sends exceed it at a searcher without a fault."""
 DECAY_S = 8.0
-"""Time constant, in seconds, of the exponential decay of a searcher's measured
+"""Time constant, in seconds, of the exponential decay of a searcher's observed
 slowness and failure rate, so that one that recovers gets sends again."""
 LATE_FACTOR = 2.5
 """Multiple of the route's median after which a send under way raises the cost
@@ -191,7 +191,7 @@
     """Records that a searcher refused to run a send.
 
     Each refusal costs a retry. A searcher that refuses a part of its requests
-    although it is healthy and its load low would otherwise be chosen as often
+    although it is healthy and its load low would otherwise be selected as often
     as the others, and use up the retry budget within a second.
     """
     row.avoid_until = max(row.avoid_until, tables.now + REFUSED_AVOID_S)
--- a/greengagemoor/membership/state.py
+++ b/greengagemoor/membership/state.py
@@ -50,7 +50,7 @@
     """A backend server whose renewals this instance monitors.
 
     Attributes:
-        heard_at: time from which its silence is measured.
+        heard_at: time from which its silence counts.
         renewal: newest one received; kept after a loss, so that a copy of an
             old announcement does not bring the server back.
         timed: whether a timer is set; a lost server has none.
--- a/greengagemoor/query/admission.py
+++ b/greengagemoor/query/admission.py
@@ -51,7 +51,7 @@
     and goodput is close to zero.
     """
     if not service.running:
-        # The expected times are measured on running queries. With none
+        # The expected times are estimated from running queries. With none
         # running, a rejection would leave the estimate unchanged: after a slow
         # period the service would reject every request while searchers idle.
         return None
