--- a/soak/builds.py
+++ b/soak/builds.py
@@ -27,6 +27,8 @@
 PHASE_S = EVACUATION_LIMIT_S + 4.0
 """Long enough to detect sends to an evacuated data centre."""
 LEADER_TIMEOUT_S = 10.0
+LEADER_DOWN_S = 3.0
+"""Seconds for which a leader is down so that another instance is elected."""
 PART_ANSWERED = re.compile(r"event=part .*peer=(\S+) .*answered=([1-9]\d*)")
 """Log line of an entry that had answers from shards it asked for a peer."""
 REJECTIONS = re.compile(
@@ -149,18 +151,14 @@
             self.assign_builds(names)
             await self.restart()
             await self.run_evacuation()
-            leader = await self._record_leader()
-            if leader is not None:
-                self.cluster.kill(leader)
+            await self._replace_leader()
             await self.run_evacuation()
             await self.end_evacuations()
         for _ in range(20):
             if self.leaders == set(self.builds):
                 break
-            leader = await self._record_leader()
-            if leader is not None:
-                self.cluster.kill(leader)
-                await asyncio.sleep(LEADER_TIMEOUT_S / 2)
+            await self._replace_leader()
+        await self._record_leader()
         if self.leaders != set(self.builds):
             self.cluster.violations.append(
                 f"only builds {self.leaders} led the group"
@@ -168,6 +166,20 @@
         self.check_logs()
         self._check_shared_queries()
 
+    async def _replace_leader(self) -> None:
+        """Ends the leader until another instance leads.
+
+        A leader that starts again at once asks for votes before the others
+        miss it, and leads again.
+        """
+        leader = await self._record_leader()
+        if leader is None:
+            return
+        leader.process.kill()
+        leader.process.wait()
+        await asyncio.sleep(LEADER_DOWN_S)
+        self.cluster.start(leader)
+
     def _check_shared_queries(self) -> None:
         """Checks that entries of each build asked shards for the other one."""
         builds = {m.ip: self.build_of(m) for m in self.cluster.of_role("entry")}
